--- /dev/null
+++ b/tests/policy_scenarios.py
@@ -0,0 +1,366 @@
+"""Seeded days for the delivery policy, in terms that no build's type names enter.
+
+`play` drives one policy through a made-up day: arrivals of every class, endpoint lists of every form, cordons,
+withdrawals, a shutdown that is announced and taken back, and a hot restart into a second policy. Events and
+actions are plain tuples; an adapter (see `test_policy_compatibility.py`) turns them into a build's own types.
+"""
+
+from __future__ import annotations
+
+import math
+import random
+
+SECOND = 1_000_000
+
+# Settings by neutral names: (classes, kinds, tenants, everything else).
+CLASS_FIELDS = (
+    "name",
+    "objective",
+    "deadline",
+    "idempotency",
+    "weight",
+    "late_share",
+    "scope",
+    "window",
+    "ordered",
+)
+
+
+def _class(
+    name, objective, deadline, idempotency, weight=1.0, late_share=0.0, scope="all", window=0, ordered=False
+):
+    values = (name, objective, deadline, idempotency, weight, late_share, scope, window, ordered)
+    return dict(zip(CLASS_FIELDS, values, strict=True))
+
+
+CLASSES = (
+    _class("safe", SECOND, 6 * SECOND, "safe", 2.0, 0.2),
+    _class("keyed", 2 * SECOND, 9 * SECOND, "keyed", 1.0, 0.0, "all", 4 * SECOND),
+    _class("zoned", 2 * SECOND, 9 * SECOND, "keyed", 1.5, 0.1, "zone", 5 * SECOND),
+    _class("unsafe", SECOND // 2, 8 * SECOND, "unsafe", 3.0),
+    _class("ordered", SECOND, 8 * SECOND, "keyed", 1.0, 0.0, "all", 8 * SECOND, True),
+    _class("ordered unsafe", SECOND, 8 * SECOND, "unsafe", 1.0, 0.0, "all", 0, True),
+)
+
+SCENARIOS = {
+    "small-fleet": {
+        "slots": 6,
+        "open": 40,
+        "kinds": ((False, 1), (False, 4)),
+        "tenants": ((0.6, 4.0), (0.4, 1.0)),
+        "instances": 3,
+        "max_attempts": 5,
+        "retry_after": 2 * SECOND,
+        "clients_mark_retries": True,
+        "key_rest": SECOND // 2,
+        "rates_advertised": True,
+        "over_quota_weight": 0.2,
+        "first_share": 0.15,
+        "slow_start": 4 * SECOND,
+        "multiple": 2.5,
+    },
+    "mid-fleet": {
+        "slots": 4,
+        "open": 60,
+        "kinds": ((False, 1), (True, 3)),
+        "tenants": (),
+        "instances": 40,
+        "max_attempts": 12,
+        "retry_after": 2 * SECOND,
+        "clients_mark_retries": False,
+        "key_rest": 0,
+        "report": ("x0", "x1"),
+        "halves": True,
+        "zone_costs": (0.0, 0.3),
+        "first_share": 0.1,
+        "slow_start": 6 * SECOND,
+        "multiple": 2.0,
+        "window": SECOND,
+    },
+    "large-fleet": {
+        "slots": 4,
+        "open": 60,
+        "kinds": ((False, 1), (True, 2)),
+        "tenants": ((1.0, 50.0),),
+        "instances": 200,
+        "max_attempts": 3,
+        "retry_after": 3 * SECOND,
+        "clients_mark_retries": True,
+        "key_rest": SECOND // 4,
+        "rates_advertised": True,
+        "rejected_cost": 0.1,
+        "first_share": 0.2,
+        "slow_start": 5 * SECOND,
+        "multiple": 2.5,
+    },
+    "large-fleet-reports": {
+        "slots": 3,
+        "open": 30,
+        "kinds": ((True, 1), (False, 1)),
+        "tenants": (),
+        "instances": 120,
+        "max_attempts": 3,
+        "retry_after": SECOND,
+        "clients_mark_retries": False,
+        "key_rest": 0,
+        "report": ("x1", "x0", "x9"),
+        "first_share": 0.1,
+        "slow_start": 5 * SECOND,
+        "multiple": 2.0,
+    },
+    "list-on-request": {
+        "slots": 8,
+        "open": 30,
+        "kinds": ((False, 1),),
+        "tenants": (),
+        "instances": 1,
+        "max_attempts": 2,
+        "retry_after": 0,
+        "clients_mark_retries": False,
+        "key_rest": SECOND,
+        "on_request": True,
+        "halves": True,
+        "first_share": 0.3,
+        "slow_start": 3 * SECOND,
+        "multiple": 1.5,
+        "rejected_cost": 0.02,
+    },
+    "one-slot": {
+        "slots": 1,
+        "open": 12,
+        "kinds": ((False, 2), (False, 3)),
+        "tenants": ((1.0, 3.0),),
+        "instances": 20,
+        "max_attempts": 4,
+        "retry_after": SECOND,
+        "clients_mark_retries": True,
+        "key_rest": 0,
+        "rates_advertised": True,
+        "first_share": 0.1,
+        "slow_start": 4 * SECOND,
+        "multiple": 2.0,
+    },
+}
+
+RESULTS = ("ok", "error", "rejected", "timeout", "connect_failed", "reset", "not_attempted", "cancelled")
+HEALTHY = (90, 2, 2, 2, 1, 1, 1, 1)
+FAULTS = (
+    (5, 85, 2, 2, 2, 2, 1, 1),
+    (5, 2, 85, 2, 2, 2, 1, 1),
+    (5, 2, 2, 85, 2, 2, 1, 1),
+    (5, 2, 2, 2, 85, 2, 1, 1),
+    (5, 2, 2, 2, 2, 85, 1, 1),
+    (50, 10, 10, 10, 10, 10, 5, 5),
+)
+
+
+class World:
+    """What surrounds the policy: endpoints with a state and a fault each, and the attempts that are out."""
+
+    def __init__(self, scenario, seed):
+        self.scenario = SCENARIOS[scenario]
+        self.random = random.Random(f"{scenario}/{seed}")
+        self.now = 1000 * SECOND
+        self.endpoints = {}  # endpoint: [destination, state, rate, kind, zone]
+        self.faults = {}  # destination: weights of the results
+        self.next_endpoint, self.next_message = 100, 0
+        self.attempts, self.out, self.open = {}, {}, {}
+        self.cordoned = set()
+        self.closing = False
+
+    def add_endpoint(self, destination=None):
+        self.next_endpoint += 1
+        destination = destination or self.random.randint(1, 4)
+        kind = destination % len(self.scenario["kinds"])
+        rate = self.random.choice((0.0, 5.0, 20.0, 200.0))
+        self.endpoints[self.next_endpoint] = [destination, "ready", rate, kind, self.random.randint(0, 2)]
+        return self.next_endpoint
+
+    def entry(self, endpoint):
+        return (endpoint, *self.endpoints[endpoint])
+
+    def complete_list(self, form="complete"):
+        entries = [self.entry(endpoint) for endpoint in sorted(self.endpoints)]
+        return ("list", form, tuple(entries))
+
+    def list_event(self):
+        chance = self.random
+        roll = chance.random()
+        if roll < 0.05:
+            return ("list", "failed", ())
+        if roll < 0.15:
+            if len(self.endpoints) > 6 and chance.random() < 0.5:  # one is left out, with no word of it
+                del self.endpoints[chance.choice(sorted(self.endpoints))]
+            return self.complete_list()
+        if roll < 0.3 or len(self.endpoints) < 8:
+            return ("list", "delta", (self.entry(self.add_endpoint()),))
+        endpoint = chance.choice(sorted(self.endpoints))
+        own = self.endpoints[endpoint]
+        change = chance.random()
+        if change < 0.5:
+            drained = [e for e in sorted(self.endpoints) if self.endpoints[e][1] == "draining"]
+            endpoint = drained[0] if drained else endpoint
+            own = self.endpoints[endpoint]
+            own[1] = "draining" if own[1] == "ready" else "ready"
+        elif change < 0.6:
+            own[0] = chance.randint(1, 4)  # it moves to another destination
+            own[3] = own[0] % len(self.scenario["kinds"])
+        elif change < 0.8:
+            own[2] = chance.choice((0.0, 2.0, 10.0, 100.0))
+        else:
+            own[1] = "removed"
+            entry = self.entry(endpoint)
+            del self.endpoints[endpoint]
+            return ("list", "delta", (entry,))
+        return ("list", "delta", (self.entry(endpoint),))
+
+    def message_event(self):
+        chance = self.random
+        self.next_message += 1
+        number = chance.randrange(len(CLASSES))
+        life = int(CLASSES[number]["deadline"] * chance.choice((1.0, 0.5, 0.1)))
+        attempts, applied_at, applied_zone, restored = 0, -1, -1, False
+        if chance.random() < 0.1:
+            restored = True
+            attempts = chance.randint(0, 3)
+            if attempts and chance.random() < 0.6:
+                applied_at, applied_zone = self.now - chance.randint(0, 6 * SECOND), chance.randint(-1, 2)
+        tenant = chance.randint(0, max(0, len(self.scenario["tenants"]) - 1))
+        order_key = chance.randint(0, 2) if CLASSES[number]["ordered"] else 0
+        destination = chance.choice((1, 1, 1, 2, 2, 3, 4, 9))
+        self.open[self.next_message] = number
+        self.attempts[self.next_message] = attempts
+        return (
+            "message",
+            self.next_message,
+            number,
+            destination,
+            self.now + life,
+            tenant,
+            order_key,
+            chance.random() < 0.1,
+            restored,
+            attempts,
+            applied_at,
+            applied_zone,
+        )
+
+    def due_events(self):
+        """Outcomes of the attempts whose time has come, with load reports ahead of some."""
+        events, chance = [], self.random
+        for key in [key for key, (at, _, _) in self.out.items() if at <= self.now]:
+            _, endpoint, (result, latency, wait, fresh, malformed) = self.out.pop(key)
+            if result in ("ok", "error") and self.scenario.get("report") and chance.random() < 0.7:
+                names = len(self.scenario["report"])
+                values = tuple(chance.choice((0.0, 0.05, 0.5, 40.0, 400.0, 4000.0)) for _ in range(names))
+                events.append(("load", endpoint, values))
+            if result == "ok" and chance.random() < 0.05:
+                events.append(("response_started", key[0], key[1], endpoint))
+            ended = result == "ok" or chance.random() < 0.01
+            if ended:
+                self.open.pop(key[0], None)
+            events.append(("ended", *key, endpoint, result, latency, ended, wait, fresh, malformed))
+            if chance.random() < 0.01:  # told twice
+                events.append(events[-1])
+        return events
+
+    def take(self, actions):
+        """Attempts get an outcome and a time for it; messages that are answered are over."""
+        chance = self.random
+        calls = {}
+        for action in actions:
+            if action[0] in ("reject", "fail"):
+                self.open.pop(action[1], None)
+            elif action[0] == "send":
+                _, message, endpoint, timeout, new_timeout, needs_new = action
+                attempt = self.attempts.get(message, 0)
+                self.attempts[message] = attempt + 1
+                destination = self.endpoints.get(endpoint, [0])[0]
+                if endpoint not in calls:  # messages of one turn to one endpoint may share their fate
+                    weights = self.faults.get(destination, HEALTHY)
+                    calls[endpoint] = chance.choices(RESULTS, weights)[0], chance.randint(5_000, 400_000)
+                result, latency = calls[endpoint]
+                if chance.random() < 0.1:
+                    result = chance.choice(RESULTS)
+                if result == "timeout":
+                    latency = timeout if chance.random() < 0.5 else new_timeout
+                wait = 0
+                if result == "rejected":
+                    wait = chance.choice((0, 0, 300_000, SECOND, 3 * SECOND))
+                fresh = chance.choice((None, None, needs_new, True, False))
+                outcome = (result, latency, wait, fresh, result == "error" and chance.random() < 0.1)
+                self.out[(message, attempt)] = (self.now + latency, endpoint, outcome)
+
+    def events(self, step):
+        """What happens in one turn."""
+        chance = self.random
+        events = self.due_events()
+        if step % 40 == 0:
+            destination = chance.randint(1, 4)
+            self.faults[destination] = chance.choice((HEALTHY, HEALTHY, HEALTHY, HEALTHY, *FAULTS))
+        busy = 0.5 if step // 150 % 3 else 0.8
+        while chance.random() < busy:
+            events.append(self.message_event())
+            if chance.random() < 0.01:  # handed in twice
+                events.append(events[-1])
+        if chance.random() < 0.04:
+            events.append(self.list_event())
+        if chance.random() < 0.02 and self.endpoints:
+            endpoint = chance.choice(sorted(self.cordoned & self.endpoints.keys()) or sorted(self.endpoints))
+            self.cordoned ^= {endpoint}
+            events.append(("cordon", endpoint, endpoint in self.cordoned))
+        if chance.random() < 0.03 and self.open:
+            withdrawn = chance.choice(sorted(self.open))
+            self.open.pop(withdrawn)
+            events.append(("withdrawn", withdrawn))
+        if chance.random() < 0.006:
+            self.closing = not self.closing
+            events.append(("shutdown", self.now + 3 * SECOND if self.closing else math.inf))
+        if chance.random() < 0.1:
+            events.append(("timer", 0))
+        return events
+
+
+def renumbered(world):
+    """The second process numbers the endpoints anew; some that were listed are so no more."""
+    return {endpoint: endpoint + 5000 for endpoint in range(101, world.next_endpoint + 1)}
+
+
+def play(scenario, seed, create, steps=900):
+    """Every turn's actions, and the state as it is exported half way and at the end.
+
+    create(scenario settings, seed) gives an adapter with handle(now, events), export() and
+    replace(snapshot, numbers, seed, now, events): the actions of a new policy's first turn; and inspect(): what
+    it says between turns, as a list.
+    """
+    world = World(scenario, seed)
+    policy = create(world.scenario, seed)
+    for destination in (1, 1, 1, 2, 2, 3, 4, 4):
+        world.add_endpoint(destination)
+    turns, states = [], []
+    first = [] if world.scenario.get("on_request") else [world.complete_list("cached")]
+    turns.append(policy.handle(world.now, first))
+    for step in range(steps):
+        world.now += world.random.choice((1_000, 10_000, 50_000, 100_000, 300_000))
+        if step == steps // 2:
+            states.append(policy.export())
+            numbers = renumbered(world)
+            world.endpoints = {numbers[endpoint]: own for endpoint, own in world.endpoints.items()}
+            world.cordoned = {numbers[endpoint] for endpoint in world.cordoned if endpoint in numbers}
+            world.out = {
+                key: (at, numbers[endpoint], outcome) for key, (at, endpoint, outcome) in world.out.items()
+            }
+            world.next_endpoint += 5000
+            for endpoint in sorted(world.endpoints)[:2]:  # listed no more when the second process starts
+                del world.endpoints[endpoint]
+            actions = policy.replace(
+                states[-1], numbers, seed + 1, world.now, [world.complete_list("cached")]
+            )
+        else:
+            actions = policy.handle(world.now, world.events(step))
+        world.take(actions)
+        turns.append(actions)
+        if step % 50 == 0:
+            turns.append(policy.inspect())
+    states.append(policy.export())
+    return turns, states
