--- a/hopmill/__main__.py
+++ b/hopmill/__main__.py
@@ -8,6 +8,7 @@
 import signal
 import sys
 import time
+from typing import Any
 
 from hopmill.net.config import Config, ConfigError, load
 from hopmill.net.console import Console
@@ -44,7 +45,8 @@
     host.warm()
     path = socket_path(os.environ, config.state)
     starting = loop.create_task(take_over(loop, host, path))
-    await asyncio.wait({starting, host.closed}, return_when=asyncio.FIRST_COMPLETED)
+    waiting: set[asyncio.Future[Any]] = {starting, host.closed}
+    await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
     predecessor = Predecessor(loop, host, path)
     if starting.done():
         port = starting.result()
--- a/hopmill/brain.py
+++ b/hopmill/brain.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import functools
 import heapq
 import math
 import random
@@ -89,7 +90,7 @@
         self.messages: dict[int, Message] = {}
         self.calls: dict[tuple[int, int], tuple[Call, Message]] = {}
         self.out = self.seq = 0
-        self.expiries: list[tuple[int, int]] = []
+        self.expiries: list[tuple[float, int]] = []
         self.timers: list[int] = []
         self.keys: dict[int, list[Message]] = {}
         self.rests: dict[int, int] = {}
@@ -294,7 +295,7 @@
             return True  # nobody knows where a repeat would be dropped
         return m.tries >= self.tries or m.ran_at >= 0 and self.now >= self._last(m)
 
-    def _last(self, m: Message) -> int:
+    def _last(self, m: Message) -> float:
         """Until when a try may begin: in its time and, once it may have run, as its class allows."""
         window = {Effect.SAFE: math.inf, Effect.KEYED: m.cls.key_window_us, Effect.UNSAFE: 0}[m.cls.effect]
         return min(m.until, m.ran_at + window if m.ran_at >= 0 else math.inf) - self.margin
@@ -519,7 +520,7 @@
         if at >= m.until:
             return 0.0
         if self.s.late_halves:
-            return m.weight * max(c.late_share, 0.5 ** ((age - c.aim_us) / c.aim_us))
+            return m.weight * max(c.late_share, math.pow(0.5, (age - c.aim_us) / c.aim_us))
         return m.weight * (1 - (1 - c.late_share) * (age - c.aim_us) / max(1, c.deadline_us - c.aim_us))
 
     def _pick(self, dest: Destination) -> tuple[float, int, Message, Endpoint] | None:
@@ -543,7 +544,7 @@
         for m in dest.queue:
             key = (-math.inf, m.until) if m.first else (loss(m), m.seq)
             if (best is None or key < best[:2]) and (fit := [ep for ep in free if self._may(m, ep)]):
-                best = (*key, m, min(fit, key=lambda ep, m=m: self._rank(ep, m)))
+                best = (*key, m, min(fit, key=functools.partial(self._rank, m)))
         if best is None or self.s.kinds[dest.kind].batch == 1:
             return best
         # What travels with it takes no slot more: ranked as one message, ten in it waited for ten calls. One
@@ -559,7 +560,7 @@
         fit = [x for x in ep.lane.dest.queue if x is not m and self._may(x, ep)] if most else []
         return heapq.nsmallest(most, fit, key=lambda x: x.seq)
 
-    def _rank(self, ep: Endpoint, m: Message) -> tuple:
+    def _rank(self, m: Message, ep: Endpoint) -> tuple[bool, bool, int, bool, float, int, float]:
         """Healthy first, then not the one that just failed, one with an idle connection, the cheap one."""
         fee = self.s.zone_fees[ep.zone] if ep.zone < len(self.s.zone_fees) else 0.0
         warm = any(t > self.now - self.health.keep for t in ep.idle)
@@ -630,8 +631,8 @@
         m.tries, m.out, m.last = m.tries + 1, m.out + 1, ep
         self.actions.append(Send(m.id, ep.id, fresh if call.idle_us < 0 else timeout, fresh, call.fresh))
 
-    def _wake(self, at: int) -> None:
-        at = max(at, self.now + self.s.tick_us)
+    def _wake(self, when: float) -> None:
+        at = max(int(when), self.now + self.s.tick_us)
         if not self.timers or at < self.timers[0]:
             heapq.heappush(self.timers, at)
             self.actions.append(SetTimer(at - self.now, 0))
--- a/hopmill/net/calls.py
+++ b/hopmill/net/calls.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import base64
+import functools
 import json
 import logging
 import math
@@ -125,7 +126,8 @@
         self.calls, self.endpoint, self.items = calls, endpoint, items
         self.path = path  # of a probe
         self.started = calls.loop.time()
-        self.status, self.headers, self.body, self.received = 0, {}, bytearray(), 0
+        self.headers: dict[str, str] = {}
+        self.status, self.body, self.received = 0, bytearray(), 0
         self.connection: Connection | None = None
         self.timers: list[asyncio.TimerHandle] = []
         self.deadline = self.started
@@ -280,7 +282,7 @@
             call.deadline = max(call.deadline, call.started + patience)
             # Items of a bundle share its fate: one that ended sooner could be tried again while its first
             # copy is still out. The host cuts each time-out to its message's deadline.
-            call.timer(patience, lambda item=item: self._late(call, item))
+            call.timer(patience, functools.partial(self._late, call, item))
 
     def probe(self, endpoint: int, path: str = "/alive") -> None:
         call = Call(self, endpoint, [], path)
--- a/hopmill/net/clients.py
+++ b/hopmill/net/clients.py
@@ -371,7 +371,7 @@
         self.sock.setblocking(False)
         self._accepting()
         self._sweep()
-        return self.sock.getsockname()[1]
+        return int(self.sock.getsockname()[1])
 
     def _accepting(self) -> None:
         if self.sock is not None and not self.held:
--- a/hopmill/net/console.py
+++ b/hopmill/net/console.py
@@ -74,7 +74,7 @@
 
     async def listen(self, address: Address) -> int:
         self.server = await asyncio.start_server(self._serve, *address, limit=LINE)
-        return self.server.sockets[0].getsockname()[1]
+        return int(self.server.sockets[0].getsockname()[1])
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.callers[writer] = None
--- a/hopmill/net/handover.py
+++ b/hopmill/net/handover.py
@@ -62,7 +62,8 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket,
                  told: Callable[[list[Any]], None], lost: Callable[[], None]) -> None:
         self.loop, self.sock, self.told, self.lost = loop, sock, told, lost
-        self.buffer, self.fds = bytearray(), []
+        self.buffer = bytearray()
+        self.fds: list[int] = []
         self.out: list[tuple[bytes, list[int]]] = []
         self.closed = False
         sock.setblocking(False)
--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -545,7 +545,8 @@
             "endpoints": {n: self.names.get(n, "") for n in self.courier.endpoints},
             "waits": [[*key, until] for key, until in self.waits.items()],
             "calls": [[endpoint, items] for endpoint, _, _, items in brain["calls"]]}
-        fds = [c.sock.fileno() for c in (self.clients, *self.moving) if c.sock is not None]
+        listening = [self.clients.sock] if self.clients.sock is not None else []
+        fds = [sock.fileno() for sock in (*listening, *(c.sock for c in self.moving))]
         states = [c.state() for c in self.moving]
         self.journal.close()
         return given, fds, states
--- a/hopmill/net/state.py
+++ b/hopmill/net/state.py
@@ -119,7 +119,7 @@
 
 def frame(record: list[Any]) -> bytes:
     payload = msgpack.packb(record)
-    return FRAME.pack(len(payload), zlib.crc32(payload)) + payload
+    return bytes(FRAME.pack(len(payload), zlib.crc32(payload)) + payload)
 
 
 def parse(data: bytes) -> tuple[list[list[Any]], int]:
@@ -289,14 +289,14 @@
     def _apply(self, record: list[Any]) -> None:
         kind = record[0]
         if kind == "take":
-            m = Held(*record[1:])
-            self.held[m.number], self.ids[m.id] = m, m.number
-            self.last = max(self.last, m.number)
-            self.open_bytes += m.bytes
-            if not m.status:
+            taken = Held(*record[1:])
+            self.held[taken.number], self.ids[taken.id] = taken, taken.number
+            self.last = max(self.last, taken.number)
+            self.open_bytes += taken.bytes
+            if not taken.status:
                 self.open += 1
-                if m.key:
-                    self.open_keys[m.key] = m.number
+                if taken.key:
+                    self.open_keys[taken.key] = taken.number
         elif kind == "try":
             for number in record[1]:
                 if m := self.held.get(number):
@@ -315,11 +315,11 @@
                 self.end(m, record[2], record[3])
         elif kind == "over":
             for number in record[1]:
-                if m := self.held.pop(number, None):
-                    self.ids.pop(m.id, None)
-                    self._ended(m)
-                    self.open_bytes -= m.bytes
-                    self.over.add(m.id, record[2], m.until + OVER_S)
+                if ended := self.held.pop(number, None):
+                    self.ids.pop(ended.id, None)
+                    self._ended(ended)
+                    self.open_bytes -= ended.bytes
+                    self.over.add(ended.id, record[2], ended.until + OVER_S)
         elif kind == "cordon":
             if record[2]:
                 self.cordoned[record[1]] = None
--- a/tests/policy_scenarios.py
+++ b/tests/policy_scenarios.py
@@ -1,8 +1,8 @@
 """Seeded days for the delivery policy, in terms that no build's type names enter.
 
-`play` drives one policy through a made-up day: arrivals of every class, endpoint lists of every form, cordons,
-withdrawals, a shutdown that is announced and taken back, and a hot restart into a second policy. Events and
-actions are plain tuples; an adapter (see `test_policy_compatibility.py`) turns them into a build's own types.
+`play` drives one policy through a made-up day: arrivals of every class, endpoint lists of every form,
+cordons, withdrawals, a shutdown that is announced and taken back, and a hot restart into a second policy.
+Events and actions are plain tuples; an adapter (see `test_stored_data.py`) turns them into a build's types.
 """
 
 from __future__ import annotations
@@ -330,8 +330,8 @@
     """Every turn's actions, and the state as it is exported half way and at the end.
 
     create(scenario settings, seed) gives an adapter with handle(now, events), export() and
-    replace(snapshot, numbers, seed, now, events): the actions of a new policy's first turn; and inspect(): what
-    it says between turns, as a list.
+    replace(snapshot, numbers, seed, now, events): the actions of a new policy's first turn; and inspect():
+    what it says between turns, as a list.
     """
     world = World(scenario, seed)
     policy = create(world.scenario, seed)
