--- a/hopmill/__main__.py
+++ b/hopmill/__main__.py
@@ -52,8 +52,9 @@
         port = starting.result()
         host.handed_over = lambda: predecessor.reported
         predecessor.listen()
-        logging.info("%s is ready on port %d with %d messages restored", config.name, port,
-                     len(host.journal.held))
+        logging.info(
+            "%s is ready on port %d with %d messages restored", config.name, port, len(host.journal.held)
+        )
     else:
         starting.cancel()
     await host.closed
@@ -66,8 +67,9 @@
 def main() -> int:
     handler = logging.StreamHandler()
     handler.addFilter(Bounded(50))
-    logging.basicConfig(level=logging.INFO, handlers=[handler],
-                        format="%(asctime)s %(levelname)s %(message)s")
+    logging.basicConfig(
+        level=logging.INFO, handlers=[handler], format="%(asctime)s %(levelname)s %(message)s"
+    )
     try:
         config = load(os.environ)
     except ConfigError as error:
--- a/hopmill/brain.py
+++ b/hopmill/brain.py
@@ -15,9 +15,32 @@
 
 from hopmill.health import SPELL_US, Call, Circuit, Destination, Endpoint, Health, Lane
 from hopmill.interface import (
-    Action, AttemptAnswering, AttemptEnded, CloseIdle, Closing, Effect, EndpointCordoned, EndpointsListed,
-    EndpointState, Event, Fail, Inherited, ListEntry, ListForm, LoadReported, Log, MessageArrived,
-    MessageClass, MessageGone, Refuse, Result, Send, SetTimer, Settings, Subscribe)
+    Action,
+    AttemptAnswering,
+    AttemptEnded,
+    CloseIdle,
+    Closing,
+    Effect,
+    EndpointCordoned,
+    EndpointsListed,
+    EndpointState,
+    Event,
+    Fail,
+    Inherited,
+    ListEntry,
+    ListForm,
+    LoadReported,
+    Log,
+    MessageArrived,
+    MessageClass,
+    MessageGone,
+    Refuse,
+    Result,
+    Send,
+    SetTimer,
+    Settings,
+    Subscribe,
+)
 
 # The design's own figures.
 TRIES = 3  # attempts of one message, first included (the note's default)
@@ -40,14 +63,45 @@
 # What a process hands on to the next, by name.
 COURIER = ("seq", "unreturned", "crowded", "quota")
 HEALTH = ("start", "keep", "refused", "reaped", "hold", "loss", "setup", "setup_dev", "silent", "torn")
-LANE = ("listed", "rate", "brink", "tokens", "stamp", "wait_until", "cut_at", "refused", "window", "fulls",
-        "mean", "dev", "hold", "hold_at", "seen", "seen_at", "cold_at", "strikes", "cold_rate",
-        "cold_tokens", "cold_stamp")
+LANE = (
+    "listed",
+    "rate",
+    "brink",
+    "tokens",
+    "stamp",
+    "wait_until",
+    "cut_at",
+    "refused",
+    "window",
+    "fulls",
+    "mean",
+    "dev",
+    "hold",
+    "hold_at",
+    "seen",
+    "seen_at",
+    "cold_at",
+    "strikes",
+    "cold_rate",
+    "cold_tokens",
+    "cold_stamp",
+)
 ENDPOINT = ("cordoned", "bad", "dirty", "dirty_at", "last_ok", "failed_at", "most", "most_at")
 CIRCUIT = ("bad", "open", "trial_at", "gap", "ramp_from", "base", "tokens", "stamp")
 CALL = ("sent_at", "judged", "idle_us", "alone", "fresh", "crowded")
-MESSAGE = ("seq", "key", "tries", "ran_at", "ran_zone", "ready_at", "closed", "streaming", "quick", "weight",
-           "restored")
+MESSAGE = (
+    "seq",
+    "key",
+    "tries",
+    "ran_at",
+    "ran_zone",
+    "ready_at",
+    "closed",
+    "streaming",
+    "quick",
+    "weight",
+    "restored",
+)
 
 
 def taken(owner: object, names: tuple[str, ...]) -> list[Any]:
@@ -179,15 +233,31 @@
             calls.setdefault(id(call), (call, []))[1].append(ids)
         return {
             "tries": {m.id: m.tries for m in self.messages.values()},
-            "courier": taken(self, COURIER), "health": taken(self.health, HEALTH),
-            "dests": [[d.number, d.kind, d.arrivals, [[list(x.endpoints), taken(x, LANE)] for x in d.lanes]]
-                      for d in self.dests.values()],
-            "endpoints": [[ep.id, ep.lane.dest.number, ep.zone, taken(ep, ENDPOINT), taken(ep.c, CIRCUIT)]
-                          for ep in self.endpoints.values()],
-            "messages": [[m.id, self.s.classes.index(m.cls), m.dest.number, m.until,
-                          m.last.id if m.last else -1, taken(m, MESSAGE)] for m in self.messages.values()],
-            "calls": [[c.endpoint.id, c.endpoint.c.trial is c, taken(c, CALL), ids]
-                      for c, ids in calls.values()]}
+            "courier": taken(self, COURIER),
+            "health": taken(self.health, HEALTH),
+            "dests": [
+                [d.number, d.kind, d.arrivals, [[list(x.endpoints), taken(x, LANE)] for x in d.lanes]]
+                for d in self.dests.values()
+            ],
+            "endpoints": [
+                [ep.id, ep.lane.dest.number, ep.zone, taken(ep, ENDPOINT), taken(ep.c, CIRCUIT)]
+                for ep in self.endpoints.values()
+            ],
+            "messages": [
+                [
+                    m.id,
+                    self.s.classes.index(m.cls),
+                    m.dest.number,
+                    m.until,
+                    m.last.id if m.last else -1,
+                    taken(m, MESSAGE),
+                ]
+                for m in self.messages.values()
+            ],
+            "calls": [
+                [c.endpoint.id, c.endpoint.c.trial is c, taken(c, CALL), ids] for c, ids in calls.values()
+            ],
+        }
 
     def _inherit(self, e: Inherited) -> None:
         """Go on with what another process began; one that is listed no more may still have a call out."""
@@ -500,8 +570,7 @@
                     return False
                 if m.cls.key_scope == "zone" and ep.zone != m.ran_zone:
                     return False
-        if m.key and (self.keys[m.key][0] is not m
-                      or m.tries == 0 and now < self.rests.get(m.key, 0)):
+        if m.key and (self.keys[m.key][0] is not m or m.tries == 0 and now < self.rests.get(m.key, 0)):
             if m.tries == 0 and self.rests.get(m.key, 0) > now:
                 self._wake(self.rests[m.key])
             return False
@@ -537,6 +606,7 @@
         hold = max(self.health.held(lane) for lane in dest.lanes)
         short = self.health.hold * max(0, len(self.messages) - self.out) / self.s.slots
         late = soon + max(len(dest.queue) / rate * 1e6, LASTS * short)
+
         def loss(m: Message) -> float:
             return (self._value(m, late) - self._value(m, soon)) / hold
 
--- a/hopmill/health.py
+++ b/hopmill/health.py
@@ -226,8 +226,11 @@
         couriers = self.s.couriers
         budget = couriers * self.s.cold_share * self.s.fall_multiple * self.part(lane) * self.s.fall_us / 1e6
         bears = budget + 2 * math.sqrt(budget) + 2  # what is over the budget is taken for chance
-        answers = any(self.now - ep.last_ok < SPELL_US or ep.failed_at <= ep.last_ok
-                      for ep in lane.endpoints.values() if ep.state is EndpointState.READY)
+        answers = any(
+            self.now - ep.last_ok < SPELL_US or ep.failed_at <= ep.last_ok
+            for ep in lane.endpoints.values()
+            if ep.state is EndpointState.READY
+        )
         if self.thin or answers and not shut or (couriers - 1) * STRIKES * len(lane.endpoints) <= bears:
             return
         if lane.cold_at < 0:
--- a/hopmill/interface.py
+++ b/hopmill/interface.py
@@ -287,9 +287,20 @@
     data: bytes
 
 
-Event = (EndpointsListed | MessageArrived | AttemptAnswering | AttemptEnded | LoadReported | ProbeEnded
-         | MessageGone | TimerDue | EndpointCordoned | Closing
-         | Inherited | PeerNote)
+Event = (
+    EndpointsListed
+    | MessageArrived
+    | AttemptAnswering
+    | AttemptEnded
+    | LoadReported
+    | ProbeEnded
+    | MessageGone
+    | TimerDue
+    | EndpointCordoned
+    | Closing
+    | Inherited
+    | PeerNote
+)
 
 # Actions: what the host must carry out, in order. Refuse and Fail are final answers.
 
@@ -381,5 +392,4 @@
     """Ask for the whole list once."""
 
 
-Action = (Send | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | SendNote | Log | Subscribe
-          | FetchList)
+Action = Send | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | SendNote | Log | Subscribe | FetchList
--- a/hopmill/net/calls.py
+++ b/hopmill/net/calls.py
@@ -21,8 +21,13 @@
 TAIL_S = 0.5  # an answer that has begun must be whole within this: one that can't end would hold its slot
 MAX_ANSWER = 64 * 1024  # bytes of its body, as the protocol has it
 MAX_WAIT_S = 120.0  # a told wait over this is none that a destination would tell
-STATES = {"done": Result.OK, "failed": Result.ERROR, "busy": Result.FULL, "void": Result.MOOT,
-          "used_up": Result.MOOT}
+STATES = {
+    "done": Result.OK,
+    "failed": Result.ERROR,
+    "busy": Result.FULL,
+    "void": Result.MOOT,
+    "used_up": Result.MOOT,
+}
 log = logging.getLogger(__name__)
 
 
@@ -237,8 +242,9 @@
 class Calls:
     """The calls out and the connections to all endpoints."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, hooks: Hooks, idle_us: int, connect_us: int,
-                 max_idle: int) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, hooks: Hooks, idle_us: int, connect_us: int, max_idle: int
+    ) -> None:
         self.loop, self.hooks = loop, hooks
         self.idle_s, self.connect_s, self.max_idle = idle_us * IDLE_SHARE / 1e6, connect_us / 1e6, max_idle
         self.pools: dict[int, Pool] = {}
@@ -338,8 +344,10 @@
             return
         self.opened += 1
         call.connection = connection
-        call.timer(self.connect_s, lambda: call.timed_out() if connection.exchange is None
-                   and not call.status else None)
+        call.timer(
+            self.connect_s,
+            lambda: call.timed_out() if connection.exchange is None and not call.status else None,
+        )
         try:
             connection.connect(lambda error: self._connected(call, connection, error))
         except OSError as error:
--- a/hopmill/net/clients.py
+++ b/hopmill/net/clients.py
@@ -83,8 +83,17 @@
         raise BadRequest("k: must be printable characters")
     if "c" not in fields:
         raise BadRequest("c: lacks")
-    return Put(ident.decode(), order_key(order), fields["c"], fields.get("t"), _number(fields, "d"),
-               _number(fields, "dest"), key, fields.get("r") == "1", body)
+    return Put(
+        ident.decode(),
+        order_key(order),
+        fields["c"],
+        fields.get("t"),
+        _number(fields, "d"),
+        _number(fields, "dest"),
+        key,
+        fields.get("r") == "1",
+        body,
+    )
 
 
 class Reply:
@@ -345,8 +354,9 @@
     anything can be closed, and rests for a second when descriptors run out.
     """
 
-    def __init__(self, put: Callable[[Put, Reply], None], max_clients: int,
-                 not_ready: Callable[[], str] = lambda: "") -> None:
+    def __init__(
+        self, put: Callable[[Put, Reply], None], max_clients: int, not_ready: Callable[[], str] = lambda: ""
+    ) -> None:
         self.put, self.max_clients = put, max_clients
         self.not_ready = not_ready  # why a PING is told no, empty for a yes
         self.clients: dict[Client, None] = {}  # the oldest first
@@ -366,8 +376,9 @@
         if fd >= 0:
             self.sock = socket.socket(fileno=fd)
         else:
-            self.sock = socket.create_server((host, port), backlog=512,
-                                             family=socket.AF_INET6 if ":" in host else socket.AF_INET)
+            self.sock = socket.create_server(
+                (host, port), backlog=512, family=socket.AF_INET6 if ":" in host else socket.AF_INET
+            )
         self.sock.setblocking(False)
         self._accepting()
         self._sweep()
@@ -457,7 +468,7 @@
         for client in [c for c in self.clients if c.due <= now]:
             client.overdue(now)
         silent = [c for c in self.clients if not c.useful and not c.pending and now - c.since > SILENT_S]
-        for client in silent[:max(0, len(silent) - int(self.max_clients * IDLE_SHARE))]:
+        for client in silent[: max(0, len(silent) - int(self.max_clients * IDLE_SHARE))]:
             client.spare()
 
     def left(self, client: Client) -> None:
--- a/hopmill/net/config.py
+++ b/hopmill/net/config.py
@@ -59,13 +59,16 @@
         name=str(env.get("LB_NAME") or raw.get("name", "")),
         listen=parse_address(env.get("LB_LISTEN") or raw.get("listen"), "LB_LISTEN"),
         discovery=parse_address(env.get("LB_DISCOVERY") or raw.get("discovery"), "LB_DISCOVERY"),
-        state=state, seed=_seed(raw.get("seed", 0)),
+        state=state,
+        seed=_seed(raw.get("seed", 0)),
         sockets=int(_number(limits, "sockets", 1024)),
         disk_bytes=int(_number(limits, "disk_mb", 3) * 1_000_000),
-        known=_known(_mapping(raw, "known")), settings=_settings(given),
+        known=_known(_mapping(raw, "known")),
+        settings=_settings(given),
         zones=tuple(str(z) for z in given.get("localities") or ()),
         console=parse_address(console, "LB_CONSOLE") if console else None,
-        listen_fd=_inherited(env.get("LB_FD", "")))
+        listen_fd=_inherited(env.get("LB_FD", "")),
+    )
 
 
 def _inherited(text: str) -> int:
--- a/hopmill/net/counters.py
+++ b/hopmill/net/counters.py
@@ -44,9 +44,15 @@
         """A line for each figure, with these that are true at this moment."""
         lines = []
         for name, counts in (("success", self.success), ("busy", self.busy), ("failure", self.failure)):
-            lines += [f'{PREFIX}{name}_total{{{CLASS}="{escape(cls)}"}} {count}'
-                      for cls, count in zip(self.classes, counts, strict=True)]
-        plain = {"backend_calls_total": self.calls, **gauges, "reconfig_ok_total": self.reconfig_ok,
-                 "reconfig_failed_total": self.reconfig_failed}
+            lines += [
+                f'{PREFIX}{name}_total{{{CLASS}="{escape(cls)}"}} {count}'
+                for cls, count in zip(self.classes, counts, strict=True)
+            ]
+        plain = {
+            "backend_calls_total": self.calls,
+            **gauges,
+            "reconfig_ok_total": self.reconfig_ok,
+            "reconfig_failed_total": self.reconfig_failed,
+        }
         lines += [f"{PREFIX}{name} {value}" for name, value in plain.items()]
         return "".join(f"{line}\n" for line in lines)
--- a/hopmill/net/discovery.py
+++ b/hopmill/net/discovery.py
@@ -34,11 +34,14 @@
 class Backoff:
     """Full jitter below a doubling ceiling, with a floor, a share of it, so that it never spins."""
 
-    def __init__(self, couriers: int = 1, most: tuple[float, float] = (math.inf, math.inf),
-                 least: float = 1 / 4) -> None:
+    def __init__(
+        self, couriers: int = 1, most: tuple[float, float] = (math.inf, math.inf), least: float = 1 / 4
+    ) -> None:
         self.least = least
-        self.first, self.longest = (min(max(s, each * couriers), top)
-                                    for s, each, top in zip(AGAIN_S, AGAIN_EACH_S, most, strict=True))
+        self.first, self.longest = (
+            min(max(s, each * couriers), top)
+            for s, each, top in zip(AGAIN_S, AGAIN_EACH_S, most, strict=True)
+        )
         self.ceiling = self.first
 
     def next(self) -> float:
@@ -113,8 +116,14 @@
 class Watch(Link, Exchange):
     """Follows the list of endpoints from the last version on."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, rev: int,
-                 told: Callable[[dict[str, Any]], None], couriers: int = 1) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: Address,
+        rev: int,
+        told: Callable[[dict[str, Any]], None],
+        couriers: int = 1,
+    ) -> None:
         super().__init__(loop, address)
         self.backoff = Backoff(couriers, BROKEN_S)
         self.overbooked = Backoff(couriers, TURNED_AWAY_S, TURNED_AWAY_LEAST)  # for what it turns away
@@ -179,8 +188,9 @@
 class Notices(Link, Exchange):
     """Sends finals in batches, again and again until each batch is answered 204."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address,
-                 accepted: Callable[[list[int]], None]) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, address: Address, accepted: Callable[[list[int]], None]
+    ) -> None:
         super().__init__(loop, address)
         self.accepted = accepted
         self.waiting: dict[int, bytes] = {}
@@ -218,7 +228,7 @@
 
     def ready(self) -> None:
         assert self.connection is not None
-        self.sent = list(self.waiting)[:self.most]
+        self.sent = list(self.waiting)[: self.most]
         body = b"".join(self.waiting[n] for n in self.sent)
         self.status = 0
         self.after(NOTICE_S, self.open)
--- a/hopmill/net/handover.py
+++ b/hopmill/net/handover.py
@@ -59,8 +59,13 @@
 class Channel:
     """Frames of msgpack, and descriptors beside them, on a connected Unix socket."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket,
-                 told: Callable[[list[Any]], None], lost: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        sock: socket.socket,
+        told: Callable[[list[Any]], None],
+        lost: Callable[[], None],
+    ) -> None:
         self.loop, self.sock, self.told, self.lost = loop, sock, told, lost
         self.buffer = bytearray()
         self.fds: list[int] = []
@@ -120,8 +125,8 @@
             raise ValueError("too long")
         if len(self.buffer) < LENGTH.size + size:
             return None
-        message = msgpack.unpackb(bytes(self.buffer[LENGTH.size:LENGTH.size + size]), strict_map_key=False)
-        del self.buffer[:LENGTH.size + size]
+        message = msgpack.unpackb(bytes(self.buffer[LENGTH.size : LENGTH.size + size]), strict_map_key=False)
+        del self.buffer[: LENGTH.size + size]
         if not isinstance(message, list) or not message:
             raise ValueError("no list")
         return message
@@ -243,7 +248,7 @@
         state, fds, clients = self.host.freeze(self.report)
         channel.send(["state", state, len(fds)], fds[:1])  # the listening socket comes first
         for at in range(0, len(clients), BATCH):
-            channel.send(["clients", clients[at:at + BATCH]], fds[1 + at:1 + at + BATCH])
+            channel.send(["clients", clients[at : at + BATCH]], fds[1 + at : 1 + at + BATCH])
         channel.send(["end"])
 
     def report(self, message: list[Any]) -> None:
@@ -298,8 +303,13 @@
 class Successor:
     """The side that asks."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, path: Path,
-                 reported: Callable[[list[Any]], None], ended: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        path: Path,
+        reported: Callable[[list[Any]], None],
+        ended: Callable[[], None],
+    ) -> None:
         self.loop, self.path, self.reported, self.ended = loop, path, reported, ended
         self.channel: Channel | None = None
         self.answer: asyncio.Future[bool] = loop.create_future()
@@ -369,8 +379,12 @@
     journal: Journal
 
     async def warmed(self, seconds: float) -> None: ...
-    async def assume(self, given: dict[str, Any] | None = None, fds: list[int] | None = None,
-                     clients: list[list[Any]] | None = None) -> int: ...
+    async def assume(
+        self,
+        given: dict[str, Any] | None = None,
+        fds: list[int] | None = None,
+        clients: list[list[Any]] | None = None,
+    ) -> int: ...
     def outcome_reported(self, message: list[Any]) -> None: ...
     def reports_ended(self) -> None: ...
 
--- a/hopmill/net/host.py
+++ b/hopmill/net/host.py
@@ -21,8 +21,11 @@
 from hopmill.net.discovery import Notices, Watch
 from hopmill.net.state import Held, Journal
 
-STATES = {"in_service": i.EndpointState.READY, "terminating": i.EndpointState.DRAINING,
-          "terminated": i.EndpointState.GONE}
+STATES = {
+    "in_service": i.EndpointState.READY,
+    "terminating": i.EndpointState.DRAINING,
+    "terminated": i.EndpointState.GONE,
+}
 LONGEST = 10  # a message that wants to live longer than so many deadlines of its class is none of ours
 OVERDUE_S = 0.1  # a message this long past its time with no end is ended here: the last line of defence
 UNRUN = (i.Result.FULL, i.Result.CONNECT_FAILED, i.Result.MOOT)
@@ -43,8 +46,9 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config) -> None:
         self.loop, self.config, self.s = loop, config, config.settings
         self.courier = Courier(self.s, config.seed)
-        self.journal = Journal(config.state, config.disk_bytes,
-                               max(c.key_window_us for c in self.s.classes) / 1e6)
+        self.journal = Journal(
+            config.state, config.disk_bytes, max(c.key_window_us for c in self.s.classes) / 1e6
+        )
         self.numbers = 0
         self.classes = {c.name: n for n, c in enumerate(self.s.classes)}
         self.tenants = {t.name: n for n, t in enumerate(self.s.tenants)}
@@ -76,12 +80,23 @@
         self.counters = Counters([c.name for c in self.s.classes])
         self.closed: asyncio.Future[None] = loop.create_future()
         self.raw: dict[int, dict[str, Any]] = {}  # the list's entries as they came
-        self.hooks = Hooks(self._may_write, self.counters.written, self._begin, self._ended,
-                           self._told_wait, self._reported, self._probed)
-        self.calls = Calls(loop, self.hooks, self.s.connection_idle_us, self.s.connect_timeout_us,
-                           int(config.sockets * IDLE_SHARE))
-        self.clients = ClientServer(self.put, max(8, int(config.sockets * CLIENT_SHARE)),
-                                    self.not_ready)
+        self.hooks = Hooks(
+            self._may_write,
+            self.counters.written,
+            self._begin,
+            self._ended,
+            self._told_wait,
+            self._reported,
+            self._probed,
+        )
+        self.calls = Calls(
+            loop,
+            self.hooks,
+            self.s.connection_idle_us,
+            self.s.connect_timeout_us,
+            int(config.sockets * IDLE_SHARE),
+        )
+        self.clients = ClientServer(self.put, max(8, int(config.sockets * CLIENT_SHARE)), self.not_ready)
         self.notices = Notices(loop, config.discovery, self._accepted)
         self.watch = Watch(loop, config.discovery, config.known["rev"], self.listed, self.s.couriers)
 
@@ -102,8 +117,12 @@
             async with asyncio.timeout(seconds):
                 await self.heard.wait()
 
-    async def assume(self, given: dict[str, Any] | None = None, fds: list[int] | None = None,
-                     clients: list[list[Any]] | None = None) -> int:
+    async def assume(
+        self,
+        given: dict[str, Any] | None = None,
+        fds: list[int] | None = None,
+        clients: list[list[Any]] | None = None,
+    ) -> int:
         """Restore, take the first turn, then listen: a PING is answered from here on. Returns the port.
 
         given, fds and clients: from the process before, where there is one (see freeze)."""
@@ -162,9 +181,19 @@
 
     def _arrival(self, m: Held, restored: bool = False) -> i.MessageArrived:
         ran = m.may_have_run_at
-        return i.MessageArrived(m.number, m.cls, m.dest, self._mono(m.until), m.tenant, m.order,
-                                m.resubmitted, restored, m.tries, self._mono(ran) if ran else -1,
-                                m.may_have_run_zone)
+        return i.MessageArrived(
+            m.number,
+            m.cls,
+            m.dest,
+            self._mono(m.until),
+            m.tenant,
+            m.order,
+            m.resubmitted,
+            restored,
+            m.tries,
+            self._mono(ran) if ran else -1,
+            m.may_have_run_zone,
+        )
 
     # The turn
 
@@ -232,7 +261,7 @@
         for endpoint, items in bundles.items():
             most = self._batch(endpoint)
             for at in range(0, len(items), most):
-                self._call(endpoint, items[at:at + most])
+                self._call(endpoint, items[at : at + most])
 
     # Clients
 
@@ -266,9 +295,20 @@
             return
         now = time.time()
         self.numbers += 1
-        m = Held(self.numbers, put.id, cls, tenant, put.dest, put.key, now + put.life_ms / 1e3,
-                 put.resubmitted, put.body, put.order, ran_at=self.journal.key_ran_at(put.key),
-                 ran_zone=self.journal.keys.zone(put.key))
+        m = Held(
+            self.numbers,
+            put.id,
+            cls,
+            tenant,
+            put.dest,
+            put.key,
+            now + put.life_ms / 1e3,
+            put.resubmitted,
+            put.body,
+            put.order,
+            ran_at=self.journal.key_ran_at(put.key),
+            ran_zone=self.journal.keys.zone(put.key),
+        )
         self._replace(m)
         self.arrived[m.number] = (m, [reply])
         self.arriving[m.id] = m.number
@@ -456,9 +496,19 @@
             self._note(self.journal.missed, m.number)
         if over:
             self.attempts.pop(item.number, None)
-        self.tell(i.AttemptEnded(item.number, item.attempt, endpoint, outcome.result, max(1, latency), over,
-                                 outcome.wait_us, item.fresh if item.begun else None,
-                                 outcome.spoilt))
+        self.tell(
+            i.AttemptEnded(
+                item.number,
+                item.attempt,
+                endpoint,
+                outcome.result,
+                max(1, latency),
+                over,
+                outcome.wait_us,
+                item.fresh if item.begun else None,
+                outcome.spoilt,
+            )
+        )
         self._maybe_exit()
 
     def _probed(self, endpoint: int, result: i.Result, latency: int) -> None:
@@ -516,8 +566,14 @@
             self.uids[uid], self.names[self.listed_ever] = self.listed_ever, uid
         number = self.uids[uid]
         kind, zone = self.kinds.get(target.get("model", ""), 0), self.zones.get(target.get("az", ""), 0)
-        entry = i.ListEntry(number, int(target["pod_group"]), STATES[target["state"]],
-                            float(target.get("capacity_hint") or 0.0), kind, zone)
+        entry = i.ListEntry(
+            number,
+            int(target["pod_group"]),
+            STATES[target["state"]],
+            float(target.get("capacity_hint") or 0.0),
+            kind,
+            zone,
+        )
         return entry, parse_address(target["endpoint"], "endpoint")
 
     # A handover, as the process that is asked
@@ -541,10 +597,13 @@
         self.moving = [c for c in self.clients.clients if c.portable]
         brain = self.courier.hand_over()
         given = {
-            "brain": brain, "rev": self.watch.rev, "targets": list(self.raw.values()),
+            "brain": brain,
+            "rev": self.watch.rev,
+            "targets": list(self.raw.values()),
             "endpoints": {n: self.names.get(n, "") for n in self.courier.endpoints},
             "waits": [[*key, until] for key, until in self.waits.items()],
-            "calls": [[endpoint, items] for endpoint, _, _, items in brain["calls"]]}
+            "calls": [[endpoint, items] for endpoint, _, _, items in brain["calls"]],
+        }
         listening = [self.clients.sock] if self.clients.sock is not None else []
         fds = [sock.fileno() for sock in (*listening, *(c.sock for c in self.moving))]
         states = [c.state() for c in self.moving]
@@ -553,10 +612,24 @@
 
     def _relaying(self, relay: Callable[[list[Any]], None]) -> Hooks:
         """Hooks that tell the process that comes after, and keep what they told in case it never owns."""
+
         def ended(item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
             self.relayed.append((self._ended, (item, endpoint, outcome, latency)))
-            relay(["ended", item.number, item.attempt, endpoint, item.begun, item.fresh, latency,
-                   outcome.result.value, outcome.over, outcome.wait_us, outcome.spoilt])
+            relay(
+                [
+                    "ended",
+                    item.number,
+                    item.attempt,
+                    endpoint,
+                    item.begun,
+                    item.fresh,
+                    latency,
+                    outcome.result.value,
+                    outcome.over,
+                    outcome.wait_us,
+                    outcome.spoilt,
+                ]
+            )
 
         def told_wait(endpoint: int, wait_us: int) -> None:
             self.relayed.append((self._told_wait, (endpoint, wait_us)))
@@ -566,8 +639,15 @@
             self.relayed.append((self._reported, (endpoint, values)))
             relay(["load", endpoint, values])
 
-        return Hooks(lambda endpoint: False, self.counters.written, lambda items: False, ended, told_wait,
-                     reported, lambda endpoint, result, latency: None)
+        return Hooks(
+            lambda endpoint: False,
+            self.counters.written,
+            lambda items: False,
+            ended,
+            told_wait,
+            reported,
+            lambda endpoint, result, latency: None,
+        )
 
     def thaw(self) -> None:
         """The other process has gone without owning: go on."""
@@ -613,8 +693,9 @@
             self._reported(self.there.get(rest[0], -1), rest[1])
         elif kind == "ended":
             number, attempt, _, begun, fresh, latency, result, over, wait_us, spoilt = rest
-            self._inherited_ended(number, attempt, Outcome(i.Result(result), over, wait_us, spoilt), latency,
-                                  begun, fresh)
+            self._inherited_ended(
+                number, attempt, Outcome(i.Result(result), over, wait_us, spoilt), latency, begun, fresh
+            )
 
     def reports_ended(self) -> None:
         """The process before has gone: what it has not told of may have run."""
@@ -623,8 +704,9 @@
         for number, attempt in list(self.inherited):
             self._inherited_ended(number, attempt, Outcome(i.Result.CANCELLED), 0, True, False)
 
-    def _inherited_ended(self, number: int, attempt: int, outcome: Outcome, latency: int, begun: bool,
-                         fresh: bool) -> None:
+    def _inherited_ended(
+        self, number: int, attempt: int, outcome: Outcome, latency: int, begun: bool, fresh: bool
+    ) -> None:
         endpoint = self.inherited.pop((number, attempt), None)
         if endpoint is not None:
             item = Item(number, attempt, "", "", b"", 0, fresh=fresh, begun=begun, ended=True)
@@ -648,8 +730,9 @@
 
     def figures(self) -> str:
         down = sum(1 for endpoint in self.courier.avoided() if endpoint in self.entries)
-        return self.counters.render({"inflight": self.journal.open, "hosts_listed": len(self.entries),
-                                     "hosts_down": down})
+        return self.counters.render(
+            {"inflight": self.journal.open, "hosts_listed": len(self.entries), "hosts_down": down}
+        )
 
     def _operable(self) -> None:
         if self.frozen or not self.started:
--- a/hopmill/net/http.py
+++ b/hopmill/net/http.py
@@ -86,7 +86,7 @@
             if int(line[1]) >= 200:
                 self._told(int(line[1]))
             elif (end := self.unread.find(b"\r\n\r\n")) >= 0:  # an interim one
-                self.unread = self.unread[end + 4:]
+                self.unread = self.unread[end + 4 :]
             else:
                 return
 
@@ -192,8 +192,11 @@
     def request(self, method: str, target: str, headers: Headers, body: bytes, exchange: Exchange) -> None:
         """Send one; what comes from clients into its headers was checked to be printable when it came."""
         self.answer = Answer(exchange)
-        lines = [f"{method} {target} HTTP/1.1", f"Host: {self.address[0]}:{self.address[1]}",
-                 *(f"{name}: {value}" for name, value in headers)]
+        lines = [
+            f"{method} {target} HTTP/1.1",
+            f"Host: {self.address[0]}:{self.address[1]}",
+            *(f"{name}: {value}" for name, value in headers),
+        ]
         if method == "POST":
             lines.append(f"Content-Length: {len(body)}")
         self._out, self._sent = "\r\n".join([*lines, "", ""]).encode("latin-1") + body, 0
@@ -201,7 +204,7 @@
 
     def _write(self) -> None:
         try:
-            self._sent += self.sock.send(memoryview(self._out)[self._sent:])
+            self._sent += self.sock.send(memoryview(self._out)[self._sent :])
         except BlockingIOError:
             pass
         except OSError:
--- a/hopmill/net/reload.py
+++ b/hopmill/net/reload.py
@@ -16,8 +16,13 @@
     """Reads the file on each SIGHUP and again, with growing waits, while it can't be used: it may be half
     written. Until it can, the old configuration stays in force."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, env: Mapping[str, str],
-                 moved: Callable[[Address], None], count: Callable[[bool], None]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        env: Mapping[str, str],
+        moved: Callable[[Address], None],
+        count: Callable[[bool], None],
+    ) -> None:
         self.loop, self.env, self.moved, self.count = loop, env, moved, count
         self.failed = False  # since the last signal: its first failure counts, not each new try
         self.backoff = Backoff()
--- a/hopmill/net/resp.py
+++ b/hopmill/net/resp.py
@@ -36,7 +36,7 @@
 
     def state(self) -> list[Any]:
         """What has been read and not been given out, for another process to go on with."""
-        return [bytes(self.buffer[self.at:]), self.items, self.missing, self.size, self.total]
+        return [bytes(self.buffer[self.at :]), self.items, self.missing, self.size, self.total]
 
     def restore(self, state: list[Any]) -> None:
         buffer, self.items, self.missing, self.size, self.total = state
@@ -46,7 +46,7 @@
         if self.at == len(self.buffer):
             self.buffer = bytearray(data)
         else:
-            del self.buffer[:self.at]
+            del self.buffer[: self.at]
             self.buffer += data
         self.at = 0
 
@@ -76,9 +76,9 @@
         end = self.at + self.size
         if len(self.buffer) < end + 2:
             return False
-        if self.buffer[end:end + 2] != b"\r\n":
+        if self.buffer[end : end + 2] != b"\r\n":
             raise FramingError("an item is not as long as it says")
-        self.items.append(bytes(self.buffer[self.at:end]))
+        self.items.append(bytes(self.buffer[self.at : end]))
         self.at, self.size, self.missing = end + 2, -1, self.missing - 1
         return True
 
@@ -94,7 +94,7 @@
             if len(buffer) - at >= MAX_LINE:
                 raise FramingError("a length without end")
             return -1
-        digits = bytes(buffer[at + 1:end])
+        digits = bytes(buffer[at + 1 : end])
         if not digits.isdigit():
             raise FramingError("invalid length")
         if int(digits) > most:
--- a/hopmill/net/state.py
+++ b/hopmill/net/state.py
@@ -127,7 +127,7 @@
     records, at = [], 0
     while at + FRAME.size <= len(data):
         size, checksum = FRAME.unpack_from(data, at)
-        payload = data[at + FRAME.size:at + FRAME.size + size]
+        payload = data[at + FRAME.size : at + FRAME.size + size]
         if len(payload) != size or zlib.crc32(payload) != checksum or not size:
             break
         records.append(msgpack.unpackb(payload))
--- a/hopmill/simhost.py
+++ b/hopmill/simhost.py
@@ -9,8 +9,9 @@
 from hopmill.brain import Courier
 
 
-def answer(sequence: int, now_us: int, body: bytes, count: int, couriers: dict[int, Courier],
-           pages: dict[int, Any]) -> bytes:
+def answer(
+    sequence: int, now_us: int, body: bytes, count: int, couriers: dict[int, Courier], pages: dict[int, Any]
+) -> bytes:
     """The reply to one batch."""
     inbox: dict[int, list[Any]] = {}
     for instance, event in wire.read_events(body, count, pages):
--- a/hopmill/wire.py
+++ b/hopmill/wire.py
@@ -15,8 +15,16 @@
 ALL_PEERS = 0xFFFFFFFF
 MAX_U32 = 0xFFFFFFFF
 
-RESULTS = {200: i.Result.OK, 502: i.Result.ERROR, 429: i.Result.FULL, 408: i.Result.TIMEOUT,
-           521: i.Result.CONNECT_FAILED, 520: i.Result.RESET, 444: i.Result.CANCELLED, 409: i.Result.MOOT}
+RESULTS = {
+    200: i.Result.OK,
+    502: i.Result.ERROR,
+    429: i.Result.FULL,
+    408: i.Result.TIMEOUT,
+    521: i.Result.CONNECT_FAILED,
+    520: i.Result.RESET,
+    444: i.Result.CANCELLED,
+    409: i.Result.MOOT,
+}
 FORMS = (i.ListForm.DELTA, i.ListForm.FULL, i.ListForm.CACHED, i.ListForm.FAILED)
 STATES = (i.EndpointState.GONE, i.EndpointState.READY, i.EndpointState.DRAINING)
 EFFECTS = {"read_like": i.Effect.SAFE, "idempotency_key": i.Effect.KEYED, "non_idempotent": i.Effect.UNSAFE}
@@ -66,7 +74,7 @@
 def _slice(tail: memoryview, offset: int, size: int, what: str) -> memoryview:
     if offset + size > len(tail):
         raise Malformed(f"{what} lies outside the tail: offset {offset}, {size} bytes, tail {len(tail)}")
-    return tail[offset:offset + size]
+    return tail[offset : offset + size]
 
 
 def read_settings(text: bytes | memoryview | str) -> i.Settings:
@@ -89,46 +97,70 @@
     family, limits, contract = raw.get("familyInfo", {}), raw["policyLimits"], raw["contract"]
     classes = tuple(
         i.MessageClass(
-            name=c.get("name", str(k)), aim_us=int(c["goalTimeUs"]), deadline_us=int(c["deadlineUs"]),
+            name=c.get("name", str(k)),
+            aim_us=int(c["goalTimeUs"]),
+            deadline_us=int(c["deadlineUs"]),
             effect=_choice(EFFECTS, c["idempotency"], "classes.idempotency"),
-            worth=float(c.get("worth", 1.0)), late_share=float(c.get("lateShare", 0.0)),
+            worth=float(c.get("worth", 1.0)),
+            late_share=float(c.get("lateShare", 0.0)),
             key_scope=c.get("keyScope", "all"),
-            key_window_us=int(c.get("keyTtlUs", 0)), ordered=bool(c.get("sequential", False)))
-        for k, c in enumerate(raw["classes"]))
+            key_window_us=int(c.get("keyTtlUs", 0)),
+            ordered=bool(c.get("sequential", False)),
+        )
+        for k, c in enumerate(raw["classes"])
+    )
     names = raw.get("shapes") or ["any"]
     apart, batch = family.get("kindApart", []), family.get("kindBatch", [])
     kinds = tuple(
         i.Kind(n, bool(apart[k]) if k < len(apart) else False, int(batch[k]) if k < len(batch) else 1)
-        for k, n in enumerate(names))
+        for k, n in enumerate(names)
+    )
     tenants = tuple(
         i.Tenant(t.get("name", ""), float(t.get("fraction", 0.0)), float(t.get("quotaPerS", 0.0)))
-        for t in raw.get("tenants", []))
+        for t in raw.get("tenants", [])
+    )
     return i.Settings(
-        classes=classes, kinds=kinds, tenants=tenants, slots=int(family["maxCalls"]),
-        max_held=int(limits["maxOpen"]), couriers=int(raw.get("groupSize", 1)), me=int(raw.get("me", 0)),
-        max_attempts=int(limits["attemptsCap"]), second_copies=bool(limits.get("secondCopies", False)),
-        may_probe=bool(limits.get("probing", False)), may_cancel=bool(limits.get("mayCancel", False)),
-        peer_notes=bool(limits.get("peers", False)), tick_us=int(raw.get("stepUs", 1000)),
+        classes=classes,
+        kinds=kinds,
+        tenants=tenants,
+        slots=int(family["maxCalls"]),
+        max_held=int(limits["maxOpen"]),
+        couriers=int(raw.get("groupSize", 1)),
+        me=int(raw.get("me", 0)),
+        max_attempts=int(limits["attemptsCap"]),
+        second_copies=bool(limits.get("secondCopies", False)),
+        may_probe=bool(limits.get("probing", False)),
+        may_cancel=bool(limits.get("mayCancel", False)),
+        peer_notes=bool(limits.get("peers", False)),
+        tick_us=int(raw.get("stepUs", 1000)),
         max_retry_after_us=int(limits.get("maxRetryAfterUs", 0)) if limits.get("retryAfter", False) else 0,
-        connection_idle_us=int(limits["connIdleUs"]), connect_timeout_us=int(limits["connectTimeoutUs"]),
-        drain_grace_us=int(contract["drainGraceUs"]), cold_share=float(contract["coldShare"]),
-        cold_us=int(contract["coldUs"]), fall_multiple=float(contract["fallMultiple"]),
-        fall_us=int(contract["fallUs"]), key_rest_us=int(contract.get("keyRestUs", 0)),
+        connection_idle_us=int(limits["connIdleUs"]),
+        connect_timeout_us=int(limits["connectTimeoutUs"]),
+        drain_grace_us=int(contract["drainGraceUs"]),
+        cold_share=float(contract["coldShare"]),
+        cold_us=int(contract["coldUs"]),
+        fall_multiple=float(contract["fallMultiple"]),
+        fall_us=int(contract["fallUs"]),
+        key_rest_us=int(contract.get("keyRestUs", 0)),
         answer_slack_us=int(contract.get("answerSlackUs", 0)),
         list_on_request=raw.get("membershipMode") == "on_request",
         rates_listed=raw.get("weightSource") in ("nominal", "rough"),
         report_fields=tuple(str(f) for f in raw.get("report", {}).get("fields", [])),
-        over_share_worth=float(raw.get("overShareWorth", 1.0)), late_halves=family.get("late") == "halves",
+        over_share_worth=float(raw.get("overShareWorth", 1.0)),
+        late_halves=family.get("late") == "halves",
         clients_mark_retries=bool(raw.get("clients", {}).get("marksRetry", False)),
         refused_price=float(family.get("refusedPrice", 0.0)),
-        zone_fees=tuple(float(f) for f in family.get("carriage", [])))
+        zone_fees=tuple(float(f) for f in family.get("carriage", [])),
+    )
 
 
 def read_entries(data: memoryview) -> tuple[i.ListEntry, ...]:
     return tuple(
-        i.ListEntry(endpoint_id(address, port), dest, _choice(STATES, state, "endpoint condition"), rate,
-                    kind, zone)
-        for address, port, dest, state, rate, _, kind, zone in _ENTRY.iter_unpack(data))
+        i.ListEntry(
+            endpoint_id(address, port), dest, _choice(STATES, state, "endpoint condition"), rate, kind, zone
+        )
+        for address, port, dest, state, rate, _, kind, zone in _ENTRY.iter_unpack(data)
+    )
 
 
 def split_header(header: bytes) -> tuple[int, int, int, int]:
@@ -138,13 +170,14 @@
     return BATCH_HEADER.unpack(header)
 
 
-def read_events(body: bytes, count: int,
-                pages: dict[int, tuple[i.ListEntry, ...]]) -> Iterator[tuple[int, Any]]:
+def read_events(
+    body: bytes, count: int, pages: dict[int, tuple[i.ListEntry, ...]]
+) -> Iterator[tuple[int, Any]]:
     """(instance, event) for each record in order; numbered lists are kept in `pages` across batches."""
     if count * EVENT_SIZE > len(body):
         raise Malformed(f"{count} records do not fit a body of {len(body)} bytes")
     view = memoryview(body)
-    tail, instance = view[count * EVENT_SIZE:], None
+    tail, instance = view[count * EVENT_SIZE :], None
     for at in range(0, count * EVENT_SIZE, EVENT_SIZE):
         code = view[at]
         if code == 1:
@@ -228,8 +261,9 @@
 
     def action(self, a: i.Action) -> None:
         if isinstance(a, i.Send):
-            self._add("BIIHI", 1, a.message, a.endpoint >> 16, a.endpoint & 0xFFFF,
-                      min(a.timeout_us, MAX_U32))
+            self._add(
+                "BIIHI", 1, a.message, a.endpoint >> 16, a.endpoint & 0xFFFF, min(a.timeout_us, MAX_U32)
+            )
         elif isinstance(a, i.SetTimer):
             self._add("BIQ", 5, min(a.delay_us, MAX_U32), a.token)
         elif isinstance(a, i.Refuse):
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -25,20 +25,52 @@
     """Settings as on the wire; a change is given as group__name=value."""
     raw = {
         "classes": [
-            {"name": "safe", "goalTimeUs": 1_000_000, "deadlineUs": 6_000_000, "idempotency": "read_like",
-             "worth": 2.0},
-            {"name": "keyed", "goalTimeUs": 2_000_000, "deadlineUs": 9_000_000,
-             "idempotency": "idempotency_key", "keyScope": "all", "keyTtlUs": 8_000_000},
-            {"name": "unsafe", "goalTimeUs": 500_000, "deadlineUs": 9_000_000,
-             "idempotency": "non_idempotent"},
+            {
+                "name": "safe",
+                "goalTimeUs": 1_000_000,
+                "deadlineUs": 6_000_000,
+                "idempotency": "read_like",
+                "worth": 2.0,
+            },
+            {
+                "name": "keyed",
+                "goalTimeUs": 2_000_000,
+                "deadlineUs": 9_000_000,
+                "idempotency": "idempotency_key",
+                "keyScope": "all",
+                "keyTtlUs": 8_000_000,
+            },
+            {
+                "name": "unsafe",
+                "goalTimeUs": 500_000,
+                "deadlineUs": 9_000_000,
+                "idempotency": "non_idempotent",
+            },
         ],
-        "clients": {"marksRetry": True}, "groupSize": 2, "me": 0, "stepUs": 5000,
-        "contract": {"coldShare": 0.15, "coldUs": 1_000_000, "drainGraceUs": 2_000_000, "fallMultiple": 2.5,
-                     "fallUs": 2_000_000},
+        "clients": {"marksRetry": True},
+        "groupSize": 2,
+        "me": 0,
+        "stepUs": 5000,
+        "contract": {
+            "coldShare": 0.15,
+            "coldUs": 1_000_000,
+            "drainGraceUs": 2_000_000,
+            "fallMultiple": 2.5,
+            "fallUs": 2_000_000,
+        },
         "familyInfo": {"maxCalls": 12, "kindApart": [False, False], "kindBatch": [1, 5]},
-        "policyLimits": {"attemptsCap": 12, "connIdleUs": 10_000_000, "connectTimeoutUs": 1_000_000,
-                         "maxOpen": 40, "retryAfter": True, "maxRetryAfterUs": 2_000_000, "probing": True},
-        "localities": ["here"], "shapes": ["plain", "bundles"], "weightSource": "nominal",
+        "policyLimits": {
+            "attemptsCap": 12,
+            "connIdleUs": 10_000_000,
+            "connectTimeoutUs": 1_000_000,
+            "maxOpen": 40,
+            "retryAfter": True,
+            "maxRetryAfterUs": 2_000_000,
+            "probing": True,
+        },
+        "localities": ["here"],
+        "shapes": ["plain", "bundles"],
+        "weightSource": "nominal",
         "tenants": [{"name": "t", "fraction": 1.0, "quotaPerS": 1000.0}],
     }
     for name, value in changes.items():
@@ -142,8 +174,16 @@
         self.watchers, self.notice_status, self.silent = [], [], False
 
     def target(self, uid, port, dest, kind="plain", state="in_service", rate=100.0):
-        self.targets[uid] = {"uid": uid, "endpoint": f"127.0.0.1:{port}", "az": "here", "model": kind,
-                             "pod_group": dest, "state": state, "capacity_hint": rate, "boot_ms": 0}
+        self.targets[uid] = {
+            "uid": uid,
+            "endpoint": f"127.0.0.1:{port}",
+            "az": "here",
+            "model": kind,
+            "pod_group": dest,
+            "state": state,
+            "capacity_hint": rate,
+            "boot_ms": 0,
+        }
         return self.targets[uid]
 
     def whole(self):
@@ -247,13 +287,23 @@
         return endpoint
 
     def env(self):
-        config = {"name": "n0", "seed": "8c1f30d27a5be964", "limits": self.limits,
-                  "known": self.discovery.whole(), "settings": self.raw}
+        config = {
+            "name": "n0",
+            "seed": "8c1f30d27a5be964",
+            "limits": self.limits,
+            "known": self.discovery.whole(),
+            "settings": self.raw,
+        }
         path = self.folder / "config.json"
         path.write_text(json.dumps(config))
-        return {"LB_NAME": "n0", "LB_LISTEN": "127.0.0.1:0", "LB_CONFIG": str(path),
-                "LB_DISCOVERY": f"127.0.0.1:{self.discovery.port}", "LB_STATE": str(self.folder / "state"),
-                "LB_CONSOLE": f"127.0.0.1:{self.console_port}" if self.console_port else ""}
+        return {
+            "LB_NAME": "n0",
+            "LB_LISTEN": "127.0.0.1:0",
+            "LB_CONFIG": str(path),
+            "LB_DISCOVERY": f"127.0.0.1:{self.discovery.port}",
+            "LB_STATE": str(self.folder / "state"),
+            "LB_CONSOLE": f"127.0.0.1:{self.console_port}" if self.console_port else "",
+        }
 
     async def inside(self):
         """Start the courier in this process; returns a client of it."""
@@ -282,12 +332,20 @@
     async def outside(self, files=0):
         """Start the courier in a process of its own; returns a client of it."""
         self.console_port = free_port()
+
         def limit():
             if files:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (files, files))
+
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "hopmill", env={**os.environ, **self.env()}, cwd=ROOT,
-            stderr=asyncio.subprocess.PIPE, preexec_fn=limit)
+            sys.executable,
+            "-m",
+            "hopmill",
+            env={**os.environ, **self.env()},
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            preexec_fn=limit,
+        )
         while True:
             line = (await bounded(self.process.stderr.readline())).decode()
             assert line, "the courier ended"
@@ -302,9 +360,12 @@
 
 def courier(test):
     """Runs a test with a fleet."""
+
     def run(tmp_path):
         async def inner():
             async with Fleet(tmp_path) as fleet:
                 await test(fleet)
+
         asyncio.run(inner())
+
     return run
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -33,13 +33,25 @@
     """Feeds a courier and keeps what it did."""
 
     def __init__(self, endpoints=1, rate=0.0, **changes):
-        given = {"classes": CLASSES, "slots": 8, "max_held": 100, "max_attempts": 12, "kinds": (Kind("k"),),
-                 "rates_listed": rate > 0, "max_retry_after_us": 2 * S, "tick_us": 5000}
+        given = {
+            "classes": CLASSES,
+            "slots": 8,
+            "max_held": 100,
+            "max_attempts": 12,
+            "kinds": (Kind("k"),),
+            "rates_listed": rate > 0,
+            "max_retry_after_us": 2 * S,
+            "tick_us": 5000,
+        }
         given.update(changes)
         self.courier = Courier(Settings(**given), 7)
         self.now, self.next, self.tries = 1000 * S, 0, {}
-        self.do(EndpointsListed(ListForm.CACHED, tuple(
-            ListEntry(100 + n, 1, EndpointState.READY, rate) for n in range(endpoints))))
+        self.do(
+            EndpointsListed(
+                ListForm.CACHED,
+                tuple(ListEntry(100 + n, 1, EndpointState.READY, rate) for n in range(endpoints)),
+            )
+        )
 
     def do(self, *events, after=0):
         self.now += after
@@ -55,8 +67,10 @@
         return self.do(MessageArrived(self.next, cls, dest, until), after=after)
 
     def end(self, message, result, latency=100_000, after=100_000, endpoint=100, told=0):
-        return self.do(AttemptEnded(message, self.tries[message], endpoint, result, latency,
-                                    result is Result.OK, told), after=after)
+        return self.do(
+            AttemptEnded(message, self.tries[message], endpoint, result, latency, result is Result.OK, told),
+            after=after,
+        )
 
     def idle(self, seconds, step=0.05):
         acts = []
@@ -266,6 +280,7 @@
         lane.brink = lane.rate = 2.0
         serve(h, 3, Result.OK)
         return lane.rate - 2.0
+
     assert 0 < growth(True) < 0.7 * growth(False)
 
 
@@ -286,6 +301,7 @@
         h.courier.endpoints[100].lane.window = 20.0
         h.idle(2)
         return sum(len(of(Send, h.arrive())) for _ in range(12))
+
     assert 1 < at_once(0.1) < at_once(0.0) < 12
 
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -19,10 +19,15 @@
         self.ended, self.waits, self.probes, self.begun = asyncio.Queue(), [], asyncio.Queue(), []
         self.reports, self.sent = [], []
         self.allowed = True
-        hooks = c.Hooks(lambda e: self.allowed, self.sent.append, self.begin, self.end,
-                        lambda e, w: self.waits.append(w),
-                        lambda e, values: self.reports.append(values),
-                        lambda e, r, latency: self.probes.put_nowait(r))
+        hooks = c.Hooks(
+            lambda e: self.allowed,
+            self.sent.append,
+            self.begin,
+            self.end,
+            lambda e, w: self.waits.append(w),
+            lambda e, values: self.reports.append(values),
+            lambda e, r, latency: self.probes.put_nowait(r),
+        )
         given = {"idle_us": 10_000_000, "connect_us": 1_000_000, "max_idle": 20, **changes}
         self.calls = c.Calls(asyncio.get_running_loop(), hooks, **given)
 
@@ -46,20 +51,23 @@
         return s.getsockname()[1]
 
 
-@pytest.mark.parametrize(("step", "outcome"), [
-    (answer(200), c.Outcome(Result.OK, over=True)),
-    (answer(500), c.Outcome(Result.ERROR)),
-    (answer(429, Retry_After="0.25"), c.Outcome(Result.FULL, wait_us=250_000)),
-    (answer(503), c.Outcome(Result.FULL)),
-    (answer(503, Slots_Taken="1"), c.Outcome(Result.MOOT)),
-    (answer(504), c.Outcome(Result.MOOT)),
-    (answer(410), c.Outcome(Result.MOOT, over=True)),
-    (answer(413), c.Outcome(Result.MOOT)),
-    ("reset", c.Outcome(Result.RESET)),
-    ("hang", c.Outcome(Result.TIMEOUT)),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", c.Outcome(Result.OK, over=True)),
-    (b"nonsense\r\n\r\n", c.Outcome(Result.ERROR, spoilt=True)),
-])
+@pytest.mark.parametrize(
+    ("step", "outcome"),
+    [
+        (answer(200), c.Outcome(Result.OK, over=True)),
+        (answer(500), c.Outcome(Result.ERROR)),
+        (answer(429, Retry_After="0.25"), c.Outcome(Result.FULL, wait_us=250_000)),
+        (answer(503), c.Outcome(Result.FULL)),
+        (answer(503, Slots_Taken="1"), c.Outcome(Result.MOOT)),
+        (answer(504), c.Outcome(Result.MOOT)),
+        (answer(410), c.Outcome(Result.MOOT, over=True)),
+        (answer(413), c.Outcome(Result.MOOT)),
+        ("reset", c.Outcome(Result.RESET)),
+        ("hang", c.Outcome(Result.TIMEOUT)),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", c.Outcome(Result.OK, over=True)),
+        (b"nonsense\r\n\r\n", c.Outcome(Result.ERROR, spoilt=True)),
+    ],
+)
 def test_each_answer_has_its_outcome(step, outcome):
     async def run():
         endpoint = await Endpoint(step).start()
@@ -75,6 +83,7 @@
         assert o.waits == ([250_000] if outcome.wait_us else [])
         o.calls.close()
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -83,6 +92,7 @@
         o = Outcomes()
         assert await o.send(free_port(), "a") == [("a", c.Outcome(Result.CONNECT_FAILED))]
         assert o.begun == []  # nothing was written, so no attempt is recorded
+
     asyncio.run(run())
 
 
@@ -101,6 +111,7 @@
             assert await o.send(s.getsockname()[1], "a") == [("a", c.Outcome(Result.CONNECT_FAILED))]
             for f in fill:
                 f.close()
+
     asyncio.run(run())
 
 
@@ -134,6 +145,7 @@
         assert await bounded(lost) is False
         thread.join()
         listener.close()
+
     asyncio.run(run())
 
 
@@ -150,6 +162,7 @@
         assert endpoint.accepted == 2
         o.calls.close()
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -161,28 +174,37 @@
         await bounded(endpoint.ended.get())  # this side ended it
         assert not o.calls.pools[1].idle
         await endpoint.stop()
+
     asyncio.run(run())
 
 
 def test_a_bundle_has_an_end_for_each():
     async def run():
-        rows = (b'[{"id":"a","state":"done"},{"id":"b","state":"failed"},{"id":"c","state":"busy"},'
-                b'{"id":"d","state":"void"},{"id":"e","state":"used_up"}]')
-        endpoint = await Endpoint(answer(200, rows, Retry_After="0.5"), answer(429, Retry_After="1"),
-                                  answer(200, b"[]"), "reset").start()
+        rows = (
+            b'[{"id":"a","state":"done"},{"id":"b","state":"failed"},{"id":"c","state":"busy"},'
+            b'{"id":"d","state":"void"},{"id":"e","state":"used_up"}]'
+        )
+        endpoint = await Endpoint(
+            answer(200, rows, Retry_After="0.5"), answer(429, Retry_After="1"), answer(200, b"[]"), "reset"
+        ).start()
         o = Outcomes()
         ends = dict(await o.send(endpoint.port, *"abcde"))
         path, headers, body, _ = await endpoint.call()
         assert path == "/events/bundle" and b'"key":"ka"' in body and b'"body":"eA=="' in body
         assert {o.wait_us for o in ends.values()} == {500_000}
         assert {i: (o.result, o.over) for i, o in ends.items()} == {
-            "a": (Result.OK, True), "b": (Result.ERROR, False), "c": (Result.FULL, False),
-            "d": (Result.MOOT, True), "e": (Result.MOOT, False)}
+            "a": (Result.OK, True),
+            "b": (Result.ERROR, False),
+            "c": (Result.FULL, False),
+            "d": (Result.MOOT, True),
+            "e": (Result.MOOT, False),
+        }
         assert {o.result for _, o in await o.send(endpoint.port, *"fg")} == {Result.FULL}
         assert {o.result for _, o in await o.send(endpoint.port, *"hi")} == {Result.ERROR}  # may have run
         assert {o.result for _, o in await o.send(endpoint.port, *"jk")} == {Result.RESET}
         assert o.waits == [500_000, 1_000_000]
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -196,6 +218,7 @@
         assert endpoint.calls.empty() and o.begun == []
         o.calls.close()
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -210,6 +233,7 @@
         assert (await endpoint.call())[0] == "/alive"
         o.calls.close()
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -240,12 +264,22 @@
         o.calls.close()
         thread.join()
         listener.close()
+
     asyncio.run(run())
 
 
-@pytest.mark.parametrize(("text", "values"), [
-    ("x0=0.4,x1=25", [{"x0": 0.4, "x1": 25.0}]), ("x0=0.4, x1=1e2,", [{"x0": 0.4, "x1": 100.0}]),
-    ("x0=,x1=3", []), ("x0=nan,x1=3", []), ("x1=inf", []), ("x1", []), ("", [])])
+@pytest.mark.parametrize(
+    ("text", "values"),
+    [
+        ("x0=0.4,x1=25", [{"x0": 0.4, "x1": 25.0}]),
+        ("x0=0.4, x1=1e2,", [{"x0": 0.4, "x1": 100.0}]),
+        ("x0=,x1=3", []),
+        ("x0=nan,x1=3", []),
+        ("x1=inf", []),
+        ("x1", []),
+        ("", []),
+    ],
+)
 def test_a_load_report_is_passed_on_if_it_can_be_read(text, values):
     async def run():
         endpoint = await Endpoint(answer(200, X_Server_Load=text)).start()
@@ -254,4 +288,5 @@
         assert o.reports == values
         o.calls.close()
         await endpoint.stop()
+
     asyncio.run(run())
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -27,10 +27,18 @@
     "fields": c(b"MSG.PUT", b"0", b"id", b"\xff\xfe", b""),
 }
 UNREADABLE = {
-    "inline": b"PING\r\n", "number": b":5\r\n", "noise": b"\x00\xff\x17" * 30,
-    "nested": b"*1\r\n*1\r\n$1\r\nx\r\n", "negative count": b"*-1\r\n", "huge count": b"*1000000000\r\n",
-    "negative length": b"*1\r\n$-1\r\n", "huge length": b"*1\r\n$60000000\r\n", "no length": b"*1\r\n$x\r\n",
-    "signed": b"*+1\r\n", "wrong length": b"*1\r\n$3\r\nPINGPONG\r\n", "line without end": b"*" + b"1" * 50,
+    "inline": b"PING\r\n",
+    "number": b":5\r\n",
+    "noise": b"\x00\xff\x17" * 30,
+    "nested": b"*1\r\n*1\r\n$1\r\nx\r\n",
+    "negative count": b"*-1\r\n",
+    "huge count": b"*1000000000\r\n",
+    "negative length": b"*1\r\n$-1\r\n",
+    "huge length": b"*1\r\n$60000000\r\n",
+    "no length": b"*1\r\n$x\r\n",
+    "signed": b"*+1\r\n",
+    "wrong length": b"*1\r\n$3\r\nPINGPONG\r\n",
+    "line without end": b"*" + b"1" * 50,
     "big body": Client.message("big", body=b"x" * 65537),
     "sum": b"*16\r\n" + b"".join(b"$60000\r\n%s\r\n" % (b"x" * 60000) for _ in range(2)),
 }
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -98,6 +98,7 @@
         else:
             clients.close_idle()
         assert await raw.line() == "+OK"
+
     run(tmp_path)
 
 
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -9,8 +9,18 @@
 
 from hopmill.brain import Courier
 from hopmill.interface import (
-    AttemptEnded, EndpointsListed, EndpointState, ListEntry, ListForm, LoadReported, MessageArrived, Result,
-    Send, SetTimer, Settings)
+    AttemptEnded,
+    EndpointsListed,
+    EndpointState,
+    ListEntry,
+    ListForm,
+    LoadReported,
+    MessageArrived,
+    Result,
+    Send,
+    SetTimer,
+    Settings,
+)
 
 DOWN, BACK, END = 6.0, 11.0, 26.0  # seconds
 SHARE, COLD_S, MULTIPLE, FALL_S = 0.2, 9.5, 2.0, 3.0
@@ -26,12 +36,24 @@
         self.chance, self.queue, self.count = random.Random(seed), [], 0
         rate = limit if told == "listed" else 0.0
         entries = tuple(ListEntry(100 + n, 1, EndpointState.READY, rate) for n in range(2))
-        given = dict(classes=CLASSES, slots=5, max_held=48, max_attempts=6, couriers=couriers,
-                     cold_share=SHARE, cold_us=int(COLD_S * S), fall_multiple=MULTIPLE,
-                     fall_us=int(FALL_S * S), tick_us=1000,
-                     max_retry_after_us=3 * S, refused_price=0.1, **TOLD[told])
-        self.couriers = [Courier(Settings(me=k, **given), self.chance.randrange(1 << 60))
-                         for k in range(couriers)]
+        given = dict(
+            classes=CLASSES,
+            slots=5,
+            max_held=48,
+            max_attempts=6,
+            couriers=couriers,
+            cold_share=SHARE,
+            cold_us=int(COLD_S * S),
+            fall_multiple=MULTIPLE,
+            fall_us=int(FALL_S * S),
+            tick_us=1000,
+            max_retry_after_us=3 * S,
+            refused_price=0.1,
+            **TOLD[told],
+        )
+        self.couriers = [
+            Courier(Settings(me=k, **given), self.chance.randrange(1 << 60)) for k in range(couriers)
+        ]
         self.sent, self.knows, self.served, self.offered = [], set(), [], []
         for k in range(couriers):
             self.later(0.0, k, EndpointsListed(ListForm.CACHED, entries))
@@ -70,10 +92,12 @@
         took, result, wait = 0.15, Result.OK, 0
         if DOWN <= at < BACK:
             took, result, wait = {
-                "refused": (0.02, Result.CONNECT_FAILED, 0), "hangs": (a.timeout_us / S, Result.TIMEOUT, 0),
+                "refused": (0.02, Result.CONNECT_FAILED, 0),
+                "hangs": (a.timeout_us / S, Result.TIMEOUT, 0),
                 "errors": (0.05, Result.ERROR, 0),
-                "shut": (0.02, Result.FULL, int((BACK - at) * S))}[self.how]
-        elif sum(x > at - 1 for x in self.served[-int(1.2 * self.limit) - 1:]) >= 1.2 * self.limit:
+                "shut": (0.02, Result.FULL, int((BACK - at) * S)),
+            }[self.how]
+        elif sum(x > at - 1 for x in self.served[-int(1.2 * self.limit) - 1 :]) >= 1.2 * self.limit:
             took, result, wait = 0.02, Result.FULL, S // 2
         else:
             self.served.append(at)
@@ -89,15 +113,16 @@
             share = [min(1.0, SHARE + (1 - SHARE) * max(0.0, x - BACK) / COLD_S) for x in (at - FALL_S, at)]
             if share[1] < 1.0:
                 allowed = MULTIPLE * self.limit * FALL_S * sum(share) / 2
-                calls = sum(x > at - FALL_S for x in sent[:n + 1])
+                calls = sum(x > at - FALL_S for x in sent[: n + 1])
                 most = max(most, calls / (allowed + 2 * math.sqrt(allowed) + 2))
         return most
 
 
 @pytest.mark.parametrize("told", TOLD)
 @pytest.mark.parametrize("how", ["refused", "hangs", "errors", "shut"])
-@pytest.mark.parametrize("couriers, limit", [(20, 12.0), (20, 60.0), (30, 12.0), (30, 40.0), (200, 30.0),
-                                             (230, 12.0)])
+@pytest.mark.parametrize(
+    "couriers, limit", [(20, 12.0), (20, 60.0), (30, 12.0), (30, 40.0), (200, 30.0), (230, 12.0)]
+)
 def test_what_a_whole_fleet_sends_to_a_cold_destination_stays_within_its_budget(couriers, limit, how, told):
     for seed in range(3):
         cold = Cold(couriers, limit, how, told, seed)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -27,29 +27,33 @@
             if args == ("broken",):
                 raise RuntimeError("a fault")
             return "app_inflight 14\n"
+
         return call
 
 
-@pytest.mark.parametrize(("line", "says", "asked"), [
-    (b"health\n", "ACK\n", [("health",)]),
-    (b"  quiesce \r\n", "ACK\n", [("quiesce",)]),
-    (b"resume\n", "ACK\n", [("resume",)]),
-    (b"cordon s-1\n", "ACK\n", [("cordon", "s-1")]),
-    (b"uncordon s-1\r\n", "ACK\n", [("uncordon", "s-1")]),
-    (b"counters\n", "ACK\napp_inflight 14\n--\n", [("figures",)]),
-    (b"cordon none\n", "NAK no such endpoint\n", [("cordon", "none")]),
-    (b"cordon broken\n", "NAK internal error\n", [("cordon", "broken")]),
-    (b"cordon\n", "NAK cordon takes the id of one endpoint\n", []),
-    (b"cordon s-1 s-2\n", "NAK cordon takes the id of one endpoint\n", []),
-    (b"cordon " + b"x" * 300 + b"\n", "NAK cordon takes the id of one endpoint\n", []),
-    (b"cordon s\x01\n", "NAK cordon takes the id of one endpoint\n", []),
-    (b"health now\n", "NAK health takes nothing more\n", []),
-    (b"counters all\n", "NAK counters takes nothing more\n", []),
-    (b"\n", "NAK no such call\n", []),
-    (b"HEALTH\n", "NAK no such call\n", []),
-    (b"__class__\n", "NAK no such call\n", []),
-    (b"\xff\xfe\n", "NAK a call is plain ASCII\n", []),
-])
+@pytest.mark.parametrize(
+    ("line", "says", "asked"),
+    [
+        (b"health\n", "ACK\n", [("health",)]),
+        (b"  quiesce \r\n", "ACK\n", [("quiesce",)]),
+        (b"resume\n", "ACK\n", [("resume",)]),
+        (b"cordon s-1\n", "ACK\n", [("cordon", "s-1")]),
+        (b"uncordon s-1\r\n", "ACK\n", [("uncordon", "s-1")]),
+        (b"counters\n", "ACK\napp_inflight 14\n--\n", [("figures",)]),
+        (b"cordon none\n", "NAK no such endpoint\n", [("cordon", "none")]),
+        (b"cordon broken\n", "NAK internal error\n", [("cordon", "broken")]),
+        (b"cordon\n", "NAK cordon takes the id of one endpoint\n", []),
+        (b"cordon s-1 s-2\n", "NAK cordon takes the id of one endpoint\n", []),
+        (b"cordon " + b"x" * 300 + b"\n", "NAK cordon takes the id of one endpoint\n", []),
+        (b"cordon s\x01\n", "NAK cordon takes the id of one endpoint\n", []),
+        (b"health now\n", "NAK health takes nothing more\n", []),
+        (b"counters all\n", "NAK counters takes nothing more\n", []),
+        (b"\n", "NAK no such call\n", []),
+        (b"HEALTH\n", "NAK no such call\n", []),
+        (b"__class__\n", "NAK no such call\n", []),
+        (b"\xff\xfe\n", "NAK a call is plain ASCII\n", []),
+    ],
+)
 def test_each_call_has_its_answer(line, says, asked):
     host = Asked()
     assert c.answer(line, host) == says
@@ -58,6 +62,7 @@
 
 def talking(test):
     """Runs a test with a console of its own."""
+
     def run(monkeypatch):
         async def inner():
             console = c.Console(Asked())
@@ -66,7 +71,9 @@
                 await test(console, lambda: bounded(asyncio.open_connection("127.0.0.1", port)), monkeypatch)
             finally:
                 console.close()
+
         asyncio.run(inner())
+
     return run
 
 
@@ -126,8 +133,12 @@
 
 
 def test_the_environment_names_the_console_before_the_file(tmp_path):
-    raw = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "console": "127.0.0.1:3",
-           "settings": {"no": 1}}
+    raw = {
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:2",
+        "console": "127.0.0.1:3",
+        "settings": {"no": 1},
+    }
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw))
     env = {"LB_CONFIG": str(path), "LB_STATE": str(tmp_path), "LB_CONSOLE": "nowhere"}
@@ -151,11 +162,17 @@
     counters.reconfigured(True)
     assert escape('a"b\\c\nd') == 'a\\"b\\\\c\\nd'
     assert counters.render({"inflight": 3}).splitlines() == [
-        'app_success_total{tier="plain"} 1', 'app_success_total{tier="a\\"b\\\\c\\nd"} 0',
-        'app_busy_total{tier="plain"} 0', 'app_busy_total{tier="a\\"b\\\\c\\nd"} 1',
-        'app_failure_total{tier="plain"} 0', 'app_failure_total{tier="a\\"b\\\\c\\nd"} 1',
-        "app_backend_calls_total 10", "app_inflight 3", "app_reconfig_ok_total 1",
-        "app_reconfig_failed_total 0"]
+        'app_success_total{tier="plain"} 1',
+        'app_success_total{tier="a\\"b\\\\c\\nd"} 0',
+        'app_busy_total{tier="plain"} 0',
+        'app_busy_total{tier="a\\"b\\\\c\\nd"} 1',
+        'app_failure_total{tier="plain"} 0',
+        'app_failure_total{tier="a\\"b\\\\c\\nd"} 1',
+        "app_backend_calls_total 10",
+        "app_inflight 3",
+        "app_reconfig_ok_total 1",
+        "app_reconfig_failed_total 0",
+    ]
 
 
 @courier
@@ -214,6 +231,7 @@
 async def test_a_console_that_cannot_be_bound_ends_the_start(fleet):
     env = {**fleet.env(), "LB_CONSOLE": "192.0.2.1:1"}
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "hopmill", env={**os.environ, **env}, cwd=ROOT, stderr=asyncio.subprocess.PIPE)
+        sys.executable, "-m", "hopmill", env={**os.environ, **env}, cwd=ROOT, stderr=asyncio.subprocess.PIPE
+    )
     _, err = await bounded(process.communicate())
     assert process.returncode == 1 and err.startswith(b"hopmill: cannot start: ")
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -6,16 +6,36 @@
 
 from hopmill.brain import Courier
 from hopmill.interface import (
-    AttemptEnded, EndpointCordoned, EndpointsListed, EndpointState, ListEntry, ListForm, MessageArrived,
-    MessageClass, Result, Send, Settings)
-
-LISTED = EndpointsListed(ListForm.FULL, (ListEntry(1, 7, EndpointState.READY),
-                                         ListEntry(2, 7, EndpointState.READY)))
+    AttemptEnded,
+    EndpointCordoned,
+    EndpointsListed,
+    EndpointState,
+    ListEntry,
+    ListForm,
+    MessageArrived,
+    MessageClass,
+    Result,
+    Send,
+    Settings,
+)
+
+LISTED = EndpointsListed(
+    ListForm.FULL, (ListEntry(1, 7, EndpointState.READY), ListEntry(2, 7, EndpointState.READY))
+)
 
 
 def module():
-    return Courier(Settings(classes=(MessageClass("c", 800_000, 60_000_000),), slots=40, max_held=1000,
-                            cold_share=0.3, cold_us=10_000_000, fall_multiple=1.5), seed=1)
+    return Courier(
+        Settings(
+            classes=(MessageClass("c", 800_000, 60_000_000),),
+            slots=40,
+            max_held=1000,
+            cold_share=0.3,
+            cold_us=10_000_000,
+            fall_multiple=1.5,
+        ),
+        seed=1,
+    )
 
 
 def sends(courier, now, *events):
@@ -122,5 +142,3 @@
     fleet.host.journal.limit = 3_000_000
     assert await client.put("m") == "+OK"
     await e.call()
-
-
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -94,6 +94,7 @@
     def mixed(body):
         rows = b'[{"id":"b1","state":"done"},{"id":"b2","state":"failed"},{"id":"b3","state":"busy"}]'
         return answer(200, rows, Retry_After="0.3")
+
     # The first call teaches the courier that more than one may be out; then three travel as one.
     e = await fleet.endpoint("a", answer(200), mixed, dest=9, kind="bundles")
     client = await fleet.inside()
@@ -180,6 +181,7 @@
             await fleet.inside()
             for _ in range(3):
                 await bounded(fleet.discovery.watches.get())
+
     asyncio.run(run())
 
 
@@ -244,6 +246,7 @@
 
     def fail(file, data):
         raise OSError(28, "No space left on device")
+
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("hopmill.net.state.os.write", fail)
         assert (await client.put("m1")).startswith("-BUSY")
@@ -260,15 +263,21 @@
     assert time.monotonic() - start < 0.6 + 0.3
 
 
-@pytest.mark.parametrize(("name", "value", "field"), [
-    ("LB_CONFIG", "", "LB_CONFIG"), ("LB_CONFIG", "/nowhere", "LB_CONFIG"),
-    ("LB_STATE", "/nowhere", "LB_STATE"),
-    ("LB_LISTEN", "here", "LB_LISTEN"), ("LB_DISCOVERY", "127.0.0.1:x", "LB_DISCOVERY"),
-])
+@pytest.mark.parametrize(
+    ("name", "value", "field"),
+    [
+        ("LB_CONFIG", "", "LB_CONFIG"),
+        ("LB_CONFIG", "/nowhere", "LB_CONFIG"),
+        ("LB_STATE", "/nowhere", "LB_STATE"),
+        ("LB_LISTEN", "here", "LB_LISTEN"),
+        ("LB_DISCOVERY", "127.0.0.1:x", "LB_DISCOVERY"),
+    ],
+)
 def test_a_wrong_value_names_its_field(tmp_path, name, value, field):
     async def run():
         async with Fleet(tmp_path) as fleet:
             return fleet.env()
+
     env = asyncio.run(run())
     load(env)
     with pytest.raises(ConfigError, match=f"^{field}: [^\n]+$"):
@@ -279,6 +288,7 @@
     async def run():
         async with Fleet(tmp_path, settings(familyInfo__maxCalls=0)) as fleet:
             return fleet.env()
+
     with pytest.raises(ConfigError, match="^settings: slots"):
         load(asyncio.run(run()))
 
@@ -291,6 +301,7 @@
             client.writer.write(client.message("half")[:-5])
             other = await Client().open(client.writer.get_extra_info("peername")[1])
             assert await other.put("m") == "+OK"
+
     asyncio.run(run())
 
 
@@ -366,4 +377,5 @@
             assert await client.put("m", kind="unsafe") == "+OK"
             assert (await fleet.discovery.final())["status"] == "deferred"  # it never ran
             assert e.calls.empty()
+
     asyncio.run(run())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -79,8 +79,9 @@
     assert max(seconds[5:]) <= 0.4 * couriers and max(seconds[20:]) <= 2 * min(seconds[20:])
 
 
-@pytest.mark.parametrize("couriers, first, longest", [(1, 0.1, 1.0), (3, 0.15, 1.0), (40, 2.0, 5.6),
-                                                      (230, 3.0, 5.6)])
+@pytest.mark.parametrize(
+    "couriers, first, longest", [(1, 0.1, 1.0), (3, 0.15, 1.0), (40, 2.0, 5.6), (230, 3.0, 5.6)]
+)
 def test_waits_of_a_watch_double_up_to_a_ceiling_with_jitter(couriers, first, longest):
     random.seed(7)
     w = watch(couriers)
@@ -127,8 +128,18 @@
         self.closed = True
 
 
-FAILURES = ("turned away", "with a body", "refused", "silent", "cut", "never up", "headed", "half a line",
-            "reset", "no descriptor")
+FAILURES = (
+    "turned away",
+    "with a body",
+    "refused",
+    "silent",
+    "cut",
+    "never up",
+    "headed",
+    "half a line",
+    "reset",
+    "no descriptor",
+)
 
 
 def told_at(monkeypatch, couriers, script, seed, at=0.0, moved=False):
@@ -148,8 +159,9 @@
 
 @pytest.mark.parametrize("couriers", [1, 20, 40, 230, 1100])
 @pytest.mark.parametrize("last", FAILURES)
-def test_a_change_is_told_6_s_after_discovery_could_be_reached_whatever_failed_before(monkeypatch, couriers,
-                                                                                    last):
+def test_a_change_is_told_6_s_after_discovery_could_be_reached_whatever_failed_before(
+    monkeypatch, couriers, last
+):
     # It can be reached from just after the newest failed ask began, and then answers at once.
     for seed, before in enumerate(itertools.product(FAILURES, repeat=2)):
         loop, w, _ = told_at(monkeypatch, couriers, [*before, *["turned away"] * (seed % 4), last], seed)
@@ -158,8 +170,9 @@
 
 @pytest.mark.parametrize("couriers", [1, 20, 40, 230, 1100])
 @pytest.mark.parametrize("failed", FAILURES)
-def test_what_a_silent_watch_misses_is_told_in_6_s_also_when_the_next_ask_fails(monkeypatch, couriers,
-                                                                               failed):
+def test_what_a_silent_watch_misses_is_told_in_6_s_also_when_the_next_ask_fails(
+    monkeypatch, couriers, failed
+):
     for seed in range(50):
         loop, w, told = told_at(monkeypatch, couriers, [], seed)
         silent = loop.now
@@ -191,8 +204,10 @@
     assert w.rev == 5 and turned_away(w) <= 2.0
 
 
-@pytest.mark.parametrize("line", [b"{", b"[]", b'{"rev":"x","targets":[]}', b'{"rev":6,"targets":{}}',
-                                  b"null", b'{"rev":6}', b"\xff\xfe"])
+@pytest.mark.parametrize(
+    "line",
+    [b"{", b"[]", b'{"rev":"x","targets":[]}', b'{"rev":6,"targets":{}}', b"null", b'{"rev":6}', b"\xff\xfe"],
+)
 def test_a_line_that_cannot_be_read_is_followed_by_a_wait_and_a_whole_list(line):
     w = watch(40)
     w.rev = 5
@@ -243,6 +258,7 @@
             fleet.discovery.serve = silent
         else:
             await fleet.discovery.stop()
+
     return prepare
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,8 +5,21 @@
 
 from hopmill.brain import Courier
 from hopmill.interface import (
-    AttemptEnded, CloseIdle, EndpointsListed, EndpointState, Fail, Kind, ListEntry, ListForm, LoadReported,
-    MessageArrived, Refuse, Result, Send, Settings)
+    AttemptEnded,
+    CloseIdle,
+    EndpointsListed,
+    EndpointState,
+    Fail,
+    Kind,
+    ListEntry,
+    ListForm,
+    LoadReported,
+    MessageArrived,
+    Refuse,
+    Result,
+    Send,
+    Settings,
+)
 
 
 def fleet(**changes):
@@ -22,7 +35,7 @@
     h.arrive()
     assert not of(CloseIdle, h.end(1, Result.OK))
     assert not of(CloseIdle, h.arrive(after=4 * S))
-    (call, _), = h.courier.calls.values()
+    ((call, _),) = h.courier.calls.values()
     assert call.idle_us == 4 * S  # a new one costs the handshake again, and holds one of few slots for it
 
 
@@ -72,8 +85,18 @@
 @pytest.mark.parametrize("how", [Result.CONNECT_FAILED, Result.ERROR, Result.RESET, Result.TIMEOUT])
 def test_what_a_hundred_couriers_send_into_an_outage_sums_to_the_fall_budget(how):
     rate, cold, multiple, couriers = 40.0, 0.15, 2.5, 100
-    given = dict(classes=CLASSES, slots=4, max_held=100, max_attempts=12, rates_listed=True,
-                 couriers=couriers, cold_share=cold, cold_us=12 * S, fall_multiple=multiple, tick_us=5000)
+    given = dict(
+        classes=CLASSES,
+        slots=4,
+        max_held=100,
+        max_attempts=12,
+        rates_listed=True,
+        couriers=couriers,
+        cold_share=cold,
+        cold_us=12 * S,
+        fall_multiple=multiple,
+        tick_us=5000,
+    )
     all_ = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
     told = EndpointsListed(ListForm.CACHED, (entry(100, rate=rate),))
     calls, sent, now, ident = [], [], 1000 * S, 0
@@ -148,10 +171,25 @@
 def test_couriers_spread_over_routes_in_step_with_their_rates():
     chosen = {}
     for seed in range(200):
-        c = Courier(Settings(classes=CLASSES, slots=4, max_held=50, couriers=100, rates_listed=True,
-                             kinds=(Kind("k", routes_apart=True),), zone_fees=(0.1,)), seed)
-        acts = c.handle(S, [EndpointsListed(ListForm.CACHED, (entry(100, rate=9.0), entry(101, rate=3.0))),
-                            MessageArrived(1, 0, 1, 9 * S)])
+        c = Courier(
+            Settings(
+                classes=CLASSES,
+                slots=4,
+                max_held=50,
+                couriers=100,
+                rates_listed=True,
+                kinds=(Kind("k", routes_apart=True),),
+                zone_fees=(0.1,),
+            ),
+            seed,
+        )
+        acts = c.handle(
+            S,
+            [
+                EndpointsListed(ListForm.CACHED, (entry(100, rate=9.0), entry(101, rate=3.0))),
+                MessageArrived(1, 0, 1, 9 * S),
+            ],
+        )
         e = of(Send, acts)[0].endpoint
         chosen[e] = chosen.get(e, 0) + 1
     assert 130 < chosen[100] < 170
@@ -261,8 +299,13 @@
     first = {}
     for seed in range(40):
         c = Courier(Settings(classes=CLASSES, slots=4, max_held=50, couriers=40, me=seed), seed)
-        acts = c.handle(S, [EndpointsListed(ListForm.CACHED, tuple(entry(100 + n) for n in range(4))),
-                            MessageArrived(1, 0, 1, 9 * S)])
+        acts = c.handle(
+            S,
+            [
+                EndpointsListed(ListForm.CACHED, tuple(entry(100 + n) for n in range(4))),
+                MessageArrived(1, 0, 1, 9 * S),
+            ],
+        )
         first.setdefault(of(Send, acts)[0].endpoint, []).append(seed)
     assert len(first) == 4 and max(map(len, first.values())) < 20
 
@@ -340,8 +383,16 @@
     assert (lane.rate, lane.listed) == (3.0, 1.0)
 
 
-@pytest.mark.parametrize("fields, values", [(("x1",), (80.0,)), ((), ()), (("x0", "x1"), (0.05,)),
-                                            (("x0",), (0.0,)), (("x0", "x1"), (0.05, 80.0, 7.0))])
+@pytest.mark.parametrize(
+    "fields, values",
+    [
+        (("x1",), (80.0,)),
+        ((), ()),
+        (("x0", "x1"), (0.05,)),
+        (("x0",), (0.0,)),
+        (("x0", "x1"), (0.05, 80.0, 7.0)),
+    ],
+)
 def test_a_report_that_lacks_a_value_or_has_one_too_many_is_read_as_far_as_it_goes(fields, values):
     h = forty(report_fields=fields)
     h.do(LoadReported(100, values))
@@ -361,8 +412,15 @@
 
 def test_couriers_that_start_together_send_their_first_calls_and_then_their_part():
     couriers, limit = 40, 40.0
-    given = dict(classes=CLASSES, slots=4, max_held=100, max_attempts=12, report_fields=("x0", "x1"),
-                 couriers=couriers, tick_us=5000)
+    given = dict(
+        classes=CLASSES,
+        slots=4,
+        max_held=100,
+        max_attempts=12,
+        report_fields=("x0", "x1"),
+        couriers=couriers,
+        tick_us=5000,
+    )
     now, counts = 1000 * S, [0, 0]
     all_ = [Courier(Settings(me=k, **given), k) for k in range(couriers)]
     out = {}
@@ -376,8 +434,12 @@
             news = []
             for a in out.pop(k, []) if step % 10 == 9 else []:
                 counts[step >= 100] += 1
-                news += [LoadReported(100, (0.5, limit)), AttemptEnded(
-                    a.message, c.messages[a.message].tries - 1, 100, Result.OK, 100_000, True, 0)]
+                news += [
+                    LoadReported(100, (0.5, limit)),
+                    AttemptEnded(
+                        a.message, c.messages[a.message].tries - 1, 100, Result.OK, 100_000, True, 0
+                    ),
+                ]
             out.setdefault(k, []).extend(of(Send, c.handle(now, news)))
     assert couriers <= counts[0] <= 1.2 * couriers  # else a part comes on top of each
     assert counts[1] >= 0.7 * limit
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,13 +12,25 @@
 import sys
 
 import pytest
-from loopback import (
-    ROOT, Client, Endpoint, answer, bounded, courier, free_port, read_request, settings)
+from loopback import ROOT, Client, Endpoint, answer, bounded, courier, free_port, read_request, settings
 
 from hopmill.brain import Courier
 from hopmill.interface import (
-    AttemptEnded, Effect, EndpointCordoned, EndpointsListed, EndpointState, Inherited, ListEntry, ListForm,
-    MessageArrived, MessageClass, Refuse, Result, Send, Settings)
+    AttemptEnded,
+    Effect,
+    EndpointCordoned,
+    EndpointsListed,
+    EndpointState,
+    Inherited,
+    ListEntry,
+    ListForm,
+    MessageArrived,
+    MessageClass,
+    Refuse,
+    Result,
+    Send,
+    Settings,
+)
 from hopmill.net import handover as h
 from hopmill.net.config import load
 from hopmill.net.console import Refused
@@ -30,10 +42,20 @@
 
 # The module
 
+
 def module(slots=4):
-    return Courier(Settings(classes=(MessageClass("safe", 800_000, 60_000_000),
-                                     MessageClass("unsafe", 800_000, 60_000_000, Effect.UNSAFE)),
-                            slots=slots, max_held=100, max_retry_after_us=1_000_000), seed=1)
+    return Courier(
+        Settings(
+            classes=(
+                MessageClass("safe", 800_000, 60_000_000),
+                MessageClass("unsafe", 800_000, 60_000_000, Effect.UNSAFE),
+            ),
+            slots=slots,
+            max_held=100,
+            max_retry_after_us=1_000_000,
+        ),
+        seed=1,
+    )
 
 
 def listed(*endpoints):
@@ -86,8 +108,11 @@
     old.dests[7].lanes[0].rate = 3.5
     new, _ = handed(old, 6000, {1: 51, 2: 52}, listed((52, 8), (51, 7)))
     a, b = new.endpoints[51], new.endpoints[52]
-    assert (a.lane.rate, a.lane.window, a.lane.mean) == (3.5, old.endpoints[1].lane.window,
-                                                         old.endpoints[1].lane.mean)
+    assert (a.lane.rate, a.lane.window, a.lane.mean) == (
+        3.5,
+        old.endpoints[1].lane.window,
+        old.endpoints[1].lane.mean,
+    )
     assert b.c.ramp_from == 5000 and a.c.ramp_from == -1
 
 
@@ -114,6 +139,7 @@
 
 # Two hosts in one process: the lock goes by open files, so it holds between them as between processes.
 
+
 class Gate(Endpoint):
     """Answers once it is let."""
 
@@ -170,11 +196,13 @@
             kept["client"] = await fleet.inside()
             kept["pair"] = Pair(fleet)
             return kept["client"], kept["pair"]
+
         try:
             await test(fleet, start)
         finally:
             if "pair" in kept:
                 kept["pair"].close()
+
     return run
 
 
@@ -510,11 +538,24 @@
 
 # Processes of their own
 
+
 def begin(fleet, listener, port):
-    env = {**os.environ, **fleet.env(), "LB_FD": str(listener.fileno()), "TMPDIR": str(fleet.folder),
-           "LB_CONSOLE": f"127.0.0.1:{port}"}
-    return asyncio.create_subprocess_exec(sys.executable, "-m", "hopmill", env=env, cwd=ROOT,
-                                          stderr=asyncio.subprocess.DEVNULL, pass_fds=[listener.fileno()])
+    env = {
+        **os.environ,
+        **fleet.env(),
+        "LB_FD": str(listener.fileno()),
+        "TMPDIR": str(fleet.folder),
+        "LB_CONSOLE": f"127.0.0.1:{port}",
+    }
+    return asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "hopmill",
+        env=env,
+        cwd=ROOT,
+        stderr=asyncio.subprocess.DEVNULL,
+        pass_fds=[listener.fileno()],
+    )
 
 
 async def says_yes(fleet, port):
@@ -595,9 +636,20 @@
     with open(tmp_path / "config.json") as file, sock:
         fd = file.fileno() if kind == "file" else sock.fileno()
         text = {"word": "seven", "closed": "99", "negative": "-3"}.get(kind, str(fd))
-        env = {**os.environ, "LB_CONFIG": str(tmp_path / "config.json"), "LB_STATE": str(tmp_path),
-               "LB_FD": text}
-        done = subprocess.run([sys.executable, "-m", "hopmill"], env=env, cwd=ROOT, capture_output=True,
-                              text=True, timeout=20, pass_fds=[fd])
+        env = {
+            **os.environ,
+            "LB_CONFIG": str(tmp_path / "config.json"),
+            "LB_STATE": str(tmp_path),
+            "LB_FD": text,
+        }
+        done = subprocess.run(
+            [sys.executable, "-m", "hopmill"],
+            env=env,
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=20,
+            pass_fds=[fd],
+        )
     assert done.returncode == 2 and done.stderr.startswith("hopmill: LB_FD: ")
     assert done.stderr.count("\n") == 1
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -83,7 +83,8 @@
 def test_a_journal_that_tells_no_zone_is_read(tmp_path):
     m = Held(1, "m", 1, 0, 7, "k", time.time() + 9, False, b"x")
     (tmp_path / "messages.journal").write_bytes(
-        frame(["known", 0, {}, {"old": time.time()}]) + frame(m.record()[:15]) + frame(["try", [1], 5.0]))
+        frame(["known", 0, {}, {"old": time.time()}]) + frame(m.record()[:15]) + frame(["try", [1], 5.0])
+    )
     journal = Journal(tmp_path, 100_000, 9.0).acquire()
     assert (journal.held[1].may_have_run_at, journal.held[1].may_have_run_zone) == (5.0, -1)
     assert journal.key_ran_at("old") and journal.keys.zone("old") == -1
--- a/tests/test_restored.py
+++ b/tests/test_restored.py
@@ -103,4 +103,5 @@
             await fleet.outside()
             assert {(await e.call())[1]["x-request-id"] for _ in ids} == set(ids)
             assert fleet.discovery.finals.empty()
+
     asyncio.run(run())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,8 +8,25 @@
 
 from hopmill.brain import WINDOW_SHARE, Courier
 from hopmill.interface import (
-    AttemptEnded, Effect, EndpointsListed, EndpointState, Fail, Kind, ListEntry, ListForm, MessageArrived,
-    MessageClass, MessageGone, Refuse, Result, Send, SetTimer, Settings, Tenant, TimerDue)
+    AttemptEnded,
+    Effect,
+    EndpointsListed,
+    EndpointState,
+    Fail,
+    Kind,
+    ListEntry,
+    ListForm,
+    MessageArrived,
+    MessageClass,
+    MessageGone,
+    Refuse,
+    Result,
+    Send,
+    SetTimer,
+    Settings,
+    Tenant,
+    TimerDue,
+)
 
 S = 1_000_000
 TICK = 5_000
@@ -20,14 +37,25 @@
     keyed = {"effect": Effect.KEYED, "key_window_us": 4 * S, "key_scope": r.choice(("all", "zone"))}
     ordered = r.random() < 0.5
     return Settings(
-        classes=(MessageClass("s", S, 5 * S, worth=2.0),
-                 MessageClass("k", S, 8 * S, ordered=ordered, **keyed),
-                 MessageClass("u", 2 * S, 9 * S, effect=Effect.UNSAFE, late_share=0.4, ordered=ordered)),
-        kinds=(Kind("a", r.random() < 0.5, r.choice((1, 4))), Kind("b")), slots=r.randint(1, 12),
-        max_held=30, tenants=(Tenant("t", 0.5, 3.0),) if r.random() < 0.5 else (), couriers=r.randint(1, 4),
-        max_attempts=r.randint(1, 8), rates_listed=r.random() < 0.5, zone_fees=(0.1, 0.0),
-        max_retry_after_us=S, key_rest_us=S // 2, answer_slack_us=20_000, tick_us=TICK,
-        clients_mark_retries=r.random() < 0.5)
+        classes=(
+            MessageClass("s", S, 5 * S, worth=2.0),
+            MessageClass("k", S, 8 * S, ordered=ordered, **keyed),
+            MessageClass("u", 2 * S, 9 * S, effect=Effect.UNSAFE, late_share=0.4, ordered=ordered),
+        ),
+        kinds=(Kind("a", r.random() < 0.5, r.choice((1, 4))), Kind("b")),
+        slots=r.randint(1, 12),
+        max_held=30,
+        tenants=(Tenant("t", 0.5, 3.0),) if r.random() < 0.5 else (),
+        couriers=r.randint(1, 4),
+        max_attempts=r.randint(1, 8),
+        rates_listed=r.random() < 0.5,
+        zone_fees=(0.1, 0.0),
+        max_retry_after_us=S,
+        key_rest_us=S // 2,
+        answer_slack_us=20_000,
+        tick_us=TICK,
+        clients_mark_retries=r.random() < 0.5,
+    )
 
 
 @examples(max_examples=40, derandomize=True, deadline=None)
@@ -108,8 +136,11 @@
                         assert now < ran[0][2] + c.key_window_us
                         assert c.key_scope == "all" or places[a.endpoint][1] == places[ran[0][1]][1]
                 if m.order_key:
-                    before = [x for x in order[:order.index(a.message)]
-                              if (live.get(x) or ended[x]).order_key == m.order_key]
+                    before = [
+                        x
+                        for x in order[: order.index(a.message)]
+                        if (live.get(x) or ended[x]).order_key == m.order_key
+                    ]
                     assert not [x for x in before if x in live or [k for k in out if k[0] == x]]
                     assert history[a.message] or now >= rest.get(m.order_key, 0)
                 end = now + min(a.timeout_us, m.valid_until_us - now)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -3,8 +3,17 @@
 from test_brain import CLASSES, Host, S, of
 
 from hopmill.interface import (
-    AttemptEnded, EndpointsListed, EndpointState, Kind, ListEntry, ListForm, MessageArrived, MessageClass,
-    Result, Send)
+    AttemptEnded,
+    EndpointsListed,
+    EndpointState,
+    Kind,
+    ListEntry,
+    ListForm,
+    MessageArrived,
+    MessageClass,
+    Result,
+    Send,
+)
 
 
 def resets(h, kept, share):
@@ -15,8 +24,10 @@
         ep.c.open, ep.c.ramp_from, ep.c.trial, ep.c.bad, ep.dirty = False, -1, None, 0.0, 0.0
         h.arrive(cls=2)
         ok = n % share > 0
-        h.do(AttemptEnded(h.next, 0, 100, Result.OK if ok else Result.RESET, 100_000, ok, fresh=not kept),
-             after=100_000)
+        h.do(
+            AttemptEnded(h.next, 0, 100, Result.OK if ok else Result.RESET, 100_000, ok, fresh=not kept),
+            after=100_000,
+        )
         h.idle(1)
 
 
@@ -70,11 +81,17 @@
     """A slot comes free for a dear message for 2, and some for 1 that take `batch` in one call: which go?"""
     classes = (*CLASSES, MessageClass("dear", aim_us=S, deadline_us=10 * S, worth=20.0))
     h = Host(slots=1, classes=classes, kinds=(Kind("bundles", batch=batch), Kind("single")))
-    h.do(EndpointsListed(ListForm.FULL, tuple(ListEntry(100 * n, n, EndpointState.READY, kind=int(n > 1))
-                                              for n in (1, 2, 3))))
+    h.do(
+        EndpointsListed(
+            ListForm.FULL,
+            tuple(ListEntry(100 * n, n, EndpointState.READY, kind=int(n > 1)) for n in (1, 2, 3)),
+        )
+    )
     h.arrive(dest=3)
-    h.do(MessageArrived(50, 3, 2, h.now + 10 * S),
-         *(MessageArrived(60 + n, 0, 1, h.now + 10 * S) for n in range(messages)))
+    h.do(
+        MessageArrived(50, 3, 2, h.now + 10 * S),
+        *(MessageArrived(60 + n, 0, 1, h.now + 10 * S) for n in range(messages)),
+    )
     acts = h.do(AttemptEnded(1, 0, 300, Result.OK, 100_000, True), after=100_000)
     return [a.message for a in of(Send, acts)]
 
@@ -90,8 +107,11 @@
 def test_a_lane_thought_dear_for_a_lost_call_gets_a_slot_again_after_a_while():
     def goes_first(pause):
         h = Host(slots=1, kinds=(Kind("k"),))
-        h.do(EndpointsListed(ListForm.FULL, tuple(ListEntry(100 * n, n, EndpointState.READY)
-                                                  for n in (1, 2, 3))))
+        h.do(
+            EndpointsListed(
+                ListForm.FULL, tuple(ListEntry(100 * n, n, EndpointState.READY) for n in (1, 2, 3))
+            )
+        )
         for dest in (1, 2):
             h.arrive(dest=dest)
             h.end(h.next, Result.OK, endpoint=100 * dest)
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -32,11 +32,15 @@
     "an upgrade": b"HTTP/1.1 101 x\r\nUpgrade: y\r\nConnection: upgrade\r\n\r\n",
 }
 GOOD = {
-    "1xx ahead": (b"HTTP/1.1 100 x\r\n\r\nHTTP/1.1 103 x\r\nLink: y\r\n\r\n" + answer(503),
-                  c.Outcome(Result.FULL)),
+    "1xx ahead": (
+        b"HTTP/1.1 100 x\r\n\r\nHTTP/1.1 103 x\r\nLink: y\r\n\r\n" + answer(503),
+        c.Outcome(Result.FULL),
+    ),
     "a second copy": (answer(503) * 2, c.Outcome(Result.FULL)),
-    "a bad report": (answer(429, Retry_After="0.2", X_Server_Load="x0=,=,nan"),
-                     c.Outcome(Result.FULL, wait_us=200_000)),
+    "a bad report": (
+        answer(429, Retry_After="0.2", X_Server_Load="x0=,=,nan"),
+        c.Outcome(Result.FULL, wait_us=200_000),
+    ),
     "200, then a head that can't be read": (b"HTTP/1.1 200 OK\r\n\x00\x01\r\n\r\n", OK),
     "200, then 3 GB": (ENDLESS % 200, OK),
     "200, then nothing": (b"HTTP/1.1 200 OK\r\n", OK),
@@ -66,6 +70,7 @@
         await bounded(endpoint.ended.get())  # closed: it is of no further use
         assert not o.calls.out and not o.calls.pools[1].idle
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -82,6 +87,7 @@
         reusable = name.startswith(("1xx", "a bad report", "wait"))
         assert endpoint.server is not None and o.calls.opened == (1 if reusable else 2)
         await endpoint.stop()
+
     asyncio.run(run())
 
 
@@ -92,7 +98,7 @@
     exchange.first_line = lambda status: told.append((status, fed))
     parsed = Answer(exchange)
     for fed in range(len(data)):
-        assert parsed.feed(data[fed:fed + 1])
+        assert parsed.feed(data[fed : fed + 1])
     assert told == [(200, data.index(b"200 x\r\n") + 6)] and parsed.whole
 
 
@@ -111,12 +117,23 @@
             c.Call.end = original
         assert seen == [0]
         await endpoint.stop()
+
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("body", [
-    b"[" * 100000, b"[1]", b'{"id":1}', b'[{"id":"a","state":[]}]', b'[{"id":"a","state":"done"}',
-    b'[{"id":"a","state":"done"},{"id":"a","state":"busy"}]', b"\xff\xfe", b"x" * 70000])
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"[" * 100000,
+        b"[1]",
+        b'{"id":1}',
+        b'[{"id":"a","state":[]}]',
+        b'[{"id":"a","state":"done"}',
+        b'[{"id":"a","state":"done"},{"id":"a","state":"busy"}]',
+        b"\xff\xfe",
+        b"x" * 70000,
+    ],
+)
 def test_a_spoilt_bundle_may_have_run(body):
     async def run():
         endpoint = await Endpoint(answer(200, body)).start()
@@ -124,6 +141,7 @@
         got = await o.send(endpoint.port, "a", "b")
         assert got == [("a", MAY_HAVE_RUN), ("b", MAY_HAVE_RUN)]
         await endpoint.stop()
+
     asyncio.run(run())
 
 
--- a/tests/test_wide_lists.py
+++ b/tests/test_wide_lists.py
@@ -11,9 +11,19 @@
 
 
 def targets(state="in_service"):
-    return [{"uid": f"s-{n:08x}", "endpoint": f"127.0.{n // 250}.{n % 250 + 1}:6379", "az": "here",
-             "model": "plain", "pod_group": n % 60, "state": state, "capacity_hint": 30.0, "boot_ms": 0}
-            for n in range(MANY)]
+    return [
+        {
+            "uid": f"s-{n:08x}",
+            "endpoint": f"127.0.{n // 250}.{n % 250 + 1}:6379",
+            "az": "here",
+            "model": "plain",
+            "pod_group": n % 60,
+            "state": state,
+            "capacity_hint": 30.0,
+            "boot_ms": 0,
+        }
+        for n in range(MANY)
+    ]
 
 
 def line(rev, whole, entries):
@@ -25,12 +35,12 @@
 
 
 def changes(entries):
-    return [line(5 + n, False, entries[n:n + 100]) for n in range(0, MANY, 100)]
+    return [line(5 + n, False, entries[n : n + 100]) for n in range(0, MANY, 100)]
 
 
 def in_pieces(entries):
     data = line(5, True, entries)
-    return [data[at:at + 4096] for at in range(0, len(data), 4096)]
+    return [data[at : at + 4096] for at in range(0, len(data), 4096)]
 
 
 @pytest.mark.parametrize("form", [one_line, changes, in_pieces])
@@ -52,8 +62,11 @@
             for piece in form(targets("terminating")):
                 host.watch.data(piece)
             host.turn()
-            assert not [ep for ep in host.courier.endpoints.values()
-                        if ep.state.value == "ready" and ep.lane.dest.number != 7]
+            assert not [
+                ep
+                for ep in host.courier.endpoints.values()
+                if ep.state.value == "ready" and ep.lane.dest.number != 7
+            ]
             print(f"{form.__name__}: {took * 1000:.0f} ms of processor time")
             assert took < 1.0  # measured: 10 to 20 ms
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -16,12 +16,25 @@
         {"name": "a", "goalTimeUs": 1000000, "deadlineUs": 6000000, "idempotency": "read_like", "worth": 2.0},
         {"name": "b", "goalTimeUs": 2000000, "deadlineUs": 9000000, "idempotency": "non_idempotent"},
     ],
-    "contract": {"coldShare": 0.2, "coldUs": 9000000, "drainGraceUs": 500000, "fallMultiple": 2.5,
-                 "fallUs": 2000000},
+    "contract": {
+        "coldShare": 0.2,
+        "coldUs": 9000000,
+        "drainGraceUs": 500000,
+        "fallMultiple": 2.5,
+        "fallUs": 2000000,
+    },
     "familyInfo": {"maxCalls": 6, "kindApart": [True], "kindBatch": [3]},
-    "policyLimits": {"attemptsCap": 9, "connIdleUs": 1, "connectTimeoutUs": 2, "maxOpen": 50,
-                     "retryAfter": True, "maxRetryAfterUs": 7},
-    "shapes": ["k"], "weightSource": "nominal", "somethingNew": {"x": 1},
+    "policyLimits": {
+        "attemptsCap": 9,
+        "connIdleUs": 1,
+        "connectTimeoutUs": 2,
+        "maxOpen": 50,
+        "retryAfter": True,
+        "maxRetryAfterUs": 7,
+    },
+    "shapes": ["k"],
+    "weightSource": "nominal",
+    "somethingNew": {"x": 1},
 }
 ADDRESS = 0x0A124A07
 
@@ -40,19 +53,30 @@
     entry = struct.pack(">IHHBfQBH", ADDRESS, 9003, 57, 1, 4.0, 0, 0, 0)
     records = [record("BBII", 6, 2, 0, 1)]
     for n in instances:
-        records += [record("BH", 1, n), record("BQII", 7, 77 + n, len(entry), len(text)),
-                    record("BBQB", 5, 2, 1, 2)]
+        records += [
+            record("BH", 1, n),
+            record("BQII", 7, 77 + n, len(entry), len(text)),
+            record("BBQB", 5, 2, 1, 2),
+        ]
     return batch(records, entry + text, seq, now)
 
 
 def arrival(ident, seq, now, instance=3, cls=0):
-    return batch([record("BH", 1, instance),
-                  record("BIBIQQIfH", 2, ident, cls, 0, 0, now + 6_000_000, 0, 57.0, 2)], seq=seq, now=now)
+    return batch(
+        [record("BH", 1, instance), record("BIBIQQIfH", 2, ident, cls, 0, 0, now + 6_000_000, 0, 57.0, 2)],
+        seq=seq,
+        now=now,
+    )
 
 
 def run(data, **env):
-    return subprocess.run([sys.executable, "-m", "hopmill.simhost"], input=data, capture_output=True,
-                          env={**os.environ, **env}, timeout=60)
+    return subprocess.run(
+        [sys.executable, "-m", "hopmill.simhost"],
+        input=data,
+        capture_output=True,
+        env={**os.environ, **env},
+        timeout=60,
+    )
 
 
 def events(data):
@@ -69,38 +93,77 @@
 def test_begin_list_and_arrival():
     got = events(begin_batch())
     assert got[0][0] == 3 and got[0][1].seed == 80
-    assert got[1][1] == i.EndpointsListed(i.ListForm.CACHED, (
-        i.ListEntry(wire.endpoint_id(ADDRESS, 9003), 57, i.EndpointState.READY, 4.0, 0, 0),))
+    assert got[1][1] == i.EndpointsListed(
+        i.ListForm.CACHED,
+        (i.ListEntry(wire.endpoint_id(ADDRESS, 9003), 57, i.EndpointState.READY, 4.0, 0, 0),),
+    )
     assert events(arrival(9, 2, 10))[0][1] == i.MessageArrived(9, 0, 57, 6_000_010, 0, 0, True)
 
 
 def test_a_list_number_used_again_means_the_newer_list():
     entry = struct.pack(">IHHBfQBH", ADDRESS, 1, 1, 1, 0, 0, 0, 0)
     other = struct.pack(">IHHBfQBH", ADDRESS, 2, 1, 0, 0, 0, 0, 0)
-    got = events(batch([record("BH", 1, 0), record("BBII", 6, 4, 0, 1), record("BBQB", 5, 4, 1, 0),
-                        record("BBII", 6, 4, 24, 1), record("BBQB", 5, 4, 2, 1)], entry + other))
+    got = events(
+        batch(
+            [
+                record("BH", 1, 0),
+                record("BBII", 6, 4, 0, 1),
+                record("BBQB", 5, 4, 1, 0),
+                record("BBII", 6, 4, 24, 1),
+                record("BBQB", 5, 4, 2, 1),
+            ],
+            entry + other,
+        )
+    )
     assert [e.entries[0].endpoint & 0xFFFF for _, e in got] == [1, 2]
     assert got[1][1].entries[0].state is i.EndpointState.GONE
 
 
 def test_outcomes_probes_notes_and_the_rest():
-    got = [e for _, e in events(batch([
-        record("BH", 1, 3), record("BIBIHHIBI", 8, 5, 1, ADDRESS, 9003, 429, 18, 0, 250),
-        record("BIHIH", 3, 1400, 200, ADDRESS, 9003), record("BIII", 11, 2, 0, 4), record("BI", 10, 5),
-        record("BQ", 4, 77), record("BIIHBI", 12, 5, ADDRESS, 9003, 1, 9), record("BBQB", 5, 0, 3, 3)],
-        b"hi 7"))]
+    got = [
+        e
+        for _, e in events(
+            batch(
+                [
+                    record("BH", 1, 3),
+                    record("BIBIHHIBI", 8, 5, 1, ADDRESS, 9003, 429, 18, 0, 250),
+                    record("BIHIH", 3, 1400, 200, ADDRESS, 9003),
+                    record("BIII", 11, 2, 0, 4),
+                    record("BI", 10, 5),
+                    record("BQ", 4, 77),
+                    record("BIIHBI", 12, 5, ADDRESS, 9003, 1, 9),
+                    record("BBQB", 5, 0, 3, 3),
+                ],
+                b"hi 7",
+            )
+        )
+    ]
     ep = wire.endpoint_id(ADDRESS, 9003)
-    assert got == [i.AttemptEnded(5, 1, ep, i.Result.FULL, 18, False, 250_000),
-                   i.ProbeEnded(ep, i.Result.OK, 1400), i.PeerNote(2, b"hi 7"), i.MessageGone(5),
-                   i.TimerDue(77), i.AttemptAnswering(5, 1, ep), i.EndpointsListed(i.ListForm.FAILED)]
+    assert got == [
+        i.AttemptEnded(5, 1, ep, i.Result.FULL, 18, False, 250_000),
+        i.ProbeEnded(ep, i.Result.OK, 1400),
+        i.PeerNote(2, b"hi 7"),
+        i.MessageGone(5),
+        i.TimerDue(77),
+        i.AttemptAnswering(5, 1, ep),
+        i.EndpointsListed(i.ListForm.FAILED),
+    ]
 
 
 def test_an_answer_with_a_load_report_is_two_events():
     settings = {**SETTINGS, "report": {"fields": ["x0", "x1"], "how": "piggyback"}}
     assert wire.read_settings(json.dumps(settings)).report_fields == ("x0", "x1")
-    got = [e for _, e in events(batch([
-        record("BH", 1, 3),
-        record("BIBIHHIBIB4f", 8, 5, 1, ADDRESS, 9003, 200, 18, 1, 0, 2, 0.5, 25, 0, 0)]))]
+    got = [
+        e
+        for _, e in events(
+            batch(
+                [
+                    record("BH", 1, 3),
+                    record("BIBIHHIBIB4f", 8, 5, 1, ADDRESS, 9003, 200, 18, 1, 0, 2, 0.5, 25, 0, 0),
+                ]
+            )
+        )
+    ]
     ep = wire.endpoint_id(ADDRESS, 9003)
     assert got == [i.AttemptEnded(5, 1, ep, i.Result.OK, 18, True), i.LoadReported(ep, (0.5, 25.0))]
 
@@ -113,14 +176,28 @@
     reply.instance(5)
     reply.action(i.Log("two servers known"))
     assert reply.pack(12).hex() == (
-        "0000000c" "00000005" "00000061"
-        "0d0003" + "00" * 13 + "015d3a91c40a124a07232b0001388000" "050007a120000000000000004d000000"
-        "0d0005" + "00" * 13 + "09000000000000001100000000000000" + b"two servers known".hex())
-
-
-@pytest.mark.parametrize("action, code", [
-    (i.Refuse(1, 2), 2), (i.Fail(1), 3), (i.Cancel(1, 0), 4), (i.Probe(1), 6), (i.CloseIdle(1), 7),
-    (i.SendNote(None, b"x"), 8), (i.Subscribe(), 11), (i.FetchList(), 12)])
+        "0000000c"
+        "00000005"
+        "00000061"
+        "0d0003" + "00" * 13 + "015d3a91c40a124a07232b0001388000"
+        "050007a120000000000000004d000000"
+        "0d0005" + "00" * 13 + "09000000000000001100000000000000" + b"two servers known".hex()
+    )
+
+
+@pytest.mark.parametrize(
+    "action, code",
+    [
+        (i.Refuse(1, 2), 2),
+        (i.Fail(1), 3),
+        (i.Cancel(1, 0), 4),
+        (i.Probe(1), 6),
+        (i.CloseIdle(1), 7),
+        (i.SendNote(None, b"x"), 8),
+        (i.Subscribe(), 11),
+        (i.FetchList(), 12),
+    ],
+)
 def test_every_action_has_its_code(action, code):
     reply = wire.Reply()
     reply.action(action)
@@ -130,17 +207,20 @@
 LACKING = {k: v for k, v in SETTINGS.items() if k != "contract"}
 
 
-@pytest.mark.parametrize("data, said", [
-    (b"\0\0\0\1", "short batch header"),
-    (struct.pack(">IIQI", 1, 80, 0, 0) + b"x", "truncated batch"),
-    (batch([record("BH", 1, 0), record("B", 99)]), "unknown event code 99"),
-    (batch([record("BH", 1, 0), record("BIII", 11, 2, 5, 90)]), "outside the tail"),
-    (batch([record("BQ", 4, 1)]), "before any instance"),
-    (batch([], count=3), "do not fit"),
-    (batch([record("BH", 1, 0), record("BQII", 7, 1, 0, 3)], b"{{{"), "not JSON"),
-    (begin_batch(settings=LACKING), "'contract'"),
-    (batch([record("BH", 1, 0), record("BIBIHHIBI", 8, 5, 1, 1, 1, 777, 1, 0, 0)]), "unknown result 777"),
-])
+@pytest.mark.parametrize(
+    "data, said",
+    [
+        (b"\0\0\0\1", "short batch header"),
+        (struct.pack(">IIQI", 1, 80, 0, 0) + b"x", "truncated batch"),
+        (batch([record("BH", 1, 0), record("B", 99)]), "unknown event code 99"),
+        (batch([record("BH", 1, 0), record("BIII", 11, 2, 5, 90)]), "outside the tail"),
+        (batch([record("BQ", 4, 1)]), "before any instance"),
+        (batch([], count=3), "do not fit"),
+        (batch([record("BH", 1, 0), record("BQII", 7, 1, 0, 3)], b"{{{"), "not JSON"),
+        (begin_batch(settings=LACKING), "'contract'"),
+        (batch([record("BH", 1, 0), record("BIBIHHIBI", 8, 5, 1, 1, 1, 777, 1, 0, 0)]), "unknown result 777"),
+    ],
+)
 def test_malformed_input_ends_with_one_plain_line(data, said):
     done = run(data)
     assert done.returncode != 0 and said in done.stderr.decode()
@@ -149,6 +229,7 @@
 
 def test_an_exception_in_the_brain_is_reported_as_a_fault(monkeypatch):
     from hopmill import simhost
+
     monkeypatch.setattr(simhost.Courier, "handle", lambda *a: 1 / 0)
     data = begin_batch()
     reply = simhost.answer(1, 5, data[20:], 4, {}, {})
@@ -162,6 +243,7 @@
             for n in instances:
                 data += arrival(k, k * 10 + n, 5_000_000 + k * 500_000, n, k % 2)
         return data
+
     both = run(day((3, 4)), PYTHONHASHSEED="1")
     assert both.returncode == 0 and both.stdout == run(day((3, 4)), PYTHONHASHSEED="2").stdout
 
@@ -169,8 +251,9 @@
         found = {}
         while out:
             seq, _, size = struct.unpack(">III", out[:12])
-            found[seq], out = out[12:12 + size], out[12 + size:]
+            found[seq], out = out[12 : 12 + size], out[12 + size :]
         return found
+
     together = replies(both.stdout)
     assert len(together) == 1 + 2 * 38 and sum(map(len, together.values())) > 1500
     for n in (3, 4):
@@ -178,9 +261,16 @@
         assert len(alone) == 39 and all(together[seq] == body for seq, body in alone.items() if seq > 1)
 
 
-@pytest.mark.parametrize("field, change", [
-    ("slots", {"slots": 0}), ("cold_share", {"cold_share": 1.5}), ("cold_us", {"cold_us": -1}),
-    ("classes", {"classes": ()}), ("max_attempts", {"max_attempts": 0})])
+@pytest.mark.parametrize(
+    "field, change",
+    [
+        ("slots", {"slots": 0}),
+        ("cold_share", {"cold_share": 1.5}),
+        ("cold_us", {"cold_us": -1}),
+        ("classes", {"classes": ()}),
+        ("max_attempts", {"max_attempts": 0}),
+    ],
+)
 def test_invalid_settings_name_the_field(field, change):
     good = {"classes": (i.MessageClass("a", 1, 2),), "slots": 1, "max_held": 1}
     i.Settings(**good)
