--- a/hopmill/__main__.py
+++ b/message_relay/__main__.py
@@ -10,11 +10,11 @@
 import time
 from typing import Any
 
-from hopmill.net.config import Config, ConfigError, load
-from hopmill.net.console import Console
-from hopmill.net.handover import Predecessor, socket_path, take_over
-from hopmill.net.host import Host
-from hopmill.net.reload import Reloader
+from message_relay.server.configuration import Config, ConfigError, load
+from message_relay.server.admin_console import Console
+from message_relay.server.hot_restart import Predecessor, socket_path, take_over
+from message_relay.server.relay_server import Host
+from message_relay.server.reload import Reloader
 
 
 class Bounded(logging.Filter):
@@ -73,12 +73,12 @@
     try:
         config = load(os.environ)
     except ConfigError as error:
-        print(f"hopmill: {error}", file=sys.stderr)
+        print(f"message-relay: {error}", file=sys.stderr)
         return 2
     try:
         asyncio.run(serve(config))
     except OSError as error:
-        print(f"hopmill: cannot start: {error}", file=sys.stderr)
+        print(f"message-relay: cannot start: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/hopmill/brain.py
+++ b/message_relay/policy/delivery_policy.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from hopmill.health import SPELL_US, Call, Circuit, Destination, Endpoint, Health, Lane
-from hopmill.interface import (
+from message_relay.policy.health import SPELL_US, Call, Circuit, Destination, Endpoint, Health, Lane
+from message_relay.model import (
     Action,
     AttemptAnswering,
     AttemptEnded,
--- a/hopmill/health.py
+++ b/message_relay/policy/health.py
@@ -6,10 +6,10 @@
 import random
 from typing import TYPE_CHECKING
 
-from hopmill.interface import Action, EndpointState, Log, Result, Settings
+from message_relay.model import Action, EndpointState, Log, Result, Settings
 
 if TYPE_CHECKING:
-    from hopmill.brain import Message
+    from message_relay.policy.delivery_policy import Message
 
 BASE_US = 100_000  # first ceiling of the jittered wait (the note's default)
 CAP_US = 3_000_000  # highest ceiling (the note's default)
--- a/hopmill/net/console.py
+++ b/message_relay/server/admin_console.py
@@ -8,7 +8,7 @@
 import re
 from typing import Protocol
 
-from hopmill.net.config import Address
+from message_relay.server.configuration import Address
 
 LINE = 512  # bytes of a call, its end included
 CALL_S = 2.0  # a call must be whole within this
--- a/hopmill/net/config.py
+++ b/message_relay/server/configuration.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-from hopmill import wire
-from hopmill.interface import Settings
+from message_relay.simulator_adapter import frames as wire
+from message_relay.model import Settings
 
 Address = tuple[str, int]
 
--- a/hopmill/net/discovery.py
+++ b/message_relay/server/discovery/endpoint_watch.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from hopmill.net.config import Address
-from hopmill.net.http import Connection, Exchange
+from message_relay.server.configuration import Address
+from message_relay.server.http.connection import Connection, Exchange
 
 # A change counts as told 6 s after discovery had it and could be reached, whatever failed before: a silence,
 # one ask that fails and the longest wait after it fit into that together; after SIGHUP the last two into 4 s.
--- /dev/null
+++ b/message_relay/server/endpoint_calls/__init__.py
@@ -0,0 +1,1 @@
+"""Calls to the endpoints of destinations."""
--- a/hopmill/net/calls.py
+++ b/message_relay/server/endpoint_calls/client.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from hopmill.interface import Result
-from hopmill.net.config import Address
-from hopmill.net.http import LOCAL_ERRORS, Connection, Exchange
+from message_relay.model import Result
+from message_relay.server.configuration import Address
+from message_relay.server.http.connection import LOCAL_ERRORS, Connection, Exchange
 
 IDLE_SHARE = 0.75  # idle connections are closed at this share of the time at which the endpoint would
 IDLE_EACH = 8  # idle connections kept to one endpoint
--- a/hopmill/net/handover.py
+++ b/message_relay/server/hot_restart.py
@@ -21,7 +21,7 @@
 
 import msgpack
 
-from hopmill.net.state import Journal, Taken
+from message_relay.server.journal.journal import Journal, Taken
 
 VERSION = 3  # of what is handed on; another one is told no, and starts from the journal instead
 LENGTH = struct.Struct(">I")
--- /dev/null
+++ b/message_relay/server/http/__init__.py
@@ -0,0 +1,1 @@
+"""An HTTP/1.1 client connection."""
--- a/hopmill/net/http.py
+++ b/message_relay/server/http/connection.py
@@ -16,7 +16,7 @@
 
 import httptools
 
-from hopmill.net.config import Address
+from message_relay.server.configuration import Address
 
 Headers = Sequence[tuple[str, str]]
 LOCAL_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL})
--- /dev/null
+++ b/message_relay/server/journal/__init__.py
@@ -0,0 +1,1 @@
+"""The journal of accepted messages."""
--- a/hopmill/net/host.py
+++ b/message_relay/server/relay_server.py
@@ -11,15 +11,15 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from hopmill import interface as i
-from hopmill.brain import Courier
-from hopmill.net.calls import Calls, Hooks, Item, Outcome
-from hopmill.net.clients import BadRequest, Client, ClientServer, Put, Reply
-from hopmill.net.config import Address, Config, ConfigError, parse_address
-from hopmill.net.console import Refused
-from hopmill.net.counters import Counters
-from hopmill.net.discovery import Notices, Watch
-from hopmill.net.state import Held, Journal
+from message_relay import model as i
+from message_relay.policy.delivery_policy import Courier
+from message_relay.server.endpoint_calls.client import Calls, Hooks, Item, Outcome
+from message_relay.server.resp.server import BadRequest, Client, ClientServer, Put, Reply
+from message_relay.server.configuration import Address, Config, ConfigError, parse_address
+from message_relay.server.admin_console import Refused
+from message_relay.server.metrics import Counters
+from message_relay.server.discovery.endpoint_watch import Notices, Watch
+from message_relay.server.journal.journal import Held, Journal
 
 STATES = {
     "in_service": i.EndpointState.READY,
--- a/hopmill/net/reload.py
+++ b/message_relay/server/reload.py
@@ -6,8 +6,8 @@
 import logging
 from collections.abc import Callable, Mapping
 
-from hopmill.net.config import Address, ConfigError, discovery
-from hopmill.net.discovery import Backoff
+from message_relay.server.configuration import Address, ConfigError, discovery
+from message_relay.server.discovery.endpoint_watch import Backoff
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/message_relay/server/resp/__init__.py
@@ -0,0 +1,1 @@
+"""The RESP2 server that clients submit messages to."""
--- a/hopmill/net/clients.py
+++ b/message_relay/server/resp/server.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from hopmill.net.resp import FramingError, RequestReader
+from message_relay.server.resp.reader import FramingError, RequestReader
 
 READ_BYTES = 1 << 16
 ACCEPTS = 16  # connections taken up in one turn: the usual clients wait for the turn's end
--- /dev/null
+++ b/message_relay/simulator_adapter/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions on the frames of the simulator."""
--- a/hopmill/simhost.py
+++ b/message_relay/simulator_adapter/__main__.py
@@ -5,8 +5,8 @@
 import sys
 from typing import Any, BinaryIO
 
-from hopmill import wire
-from hopmill.brain import Courier
+from message_relay.simulator_adapter import frames as wire
+from message_relay.policy.delivery_policy import Courier
 
 
 def answer(
@@ -58,7 +58,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except ValueError as error:  # a malformed frame or settings that cannot be
-        print(f"hopmill.simhost: {error}", file=sys.stderr)
+        print(f"message_relay.simulator_adapter: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/hopmill/wire.py
+++ b/message_relay/simulator_adapter/frames.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from hopmill import interface as i
+from message_relay import model as i
 
 BATCH_HEADER = struct.Struct(">IIQI")
 REPLY_HEADER = struct.Struct(">III")
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -13,9 +13,9 @@
 import struct
 import sys
 
-from hopmill.net.config import load
-from hopmill.net.console import Console
-from hopmill.net.host import Host
+from message_relay.server.configuration import load
+from message_relay.server.admin_console import Console
+from message_relay.server.relay_server import Host
 
 ROOT = pathlib.Path(__file__).parent.parent
 LIMIT = 15.0  # no wait of a test lasts longer
@@ -340,7 +340,7 @@
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "hopmill",
+            "message_relay",
             env={**os.environ, **self.env()},
             cwd=ROOT,
             stderr=asyncio.subprocess.PIPE,
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from hopmill.brain import Courier
-from hopmill.interface import (
+from message_relay.policy.delivery_policy import Courier
+from message_relay.model import (
     AttemptEnded,
     Effect,
     EndpointsListed,
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -7,9 +7,9 @@
 import pytest
 from loopback import Endpoint, answer, bounded
 
-from hopmill.interface import Result
-from hopmill.net import calls as c
-from hopmill.net.http import Connection, Exchange
+from message_relay.model import Result
+from message_relay.server.endpoint_calls import client as c
+from message_relay.server.http.connection import Connection, Exchange
 
 
 class Outcomes:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -8,8 +8,8 @@
 import pytest
 from loopback import Client, bounded, courier
 
-from hopmill.net import clients as server
-from hopmill.net.resp import FramingError, RequestReader
+from message_relay.server.resp import server
+from message_relay.server.resp.reader import FramingError, RequestReader
 
 c = Client.command
 UNUSABLE = {
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -11,7 +11,7 @@
 import pytest
 from loopback import Client, bounded, courier
 
-from hopmill.net import clients as server
+from message_relay.server.resp import server
 
 PING = Client.command(b"PING")
 
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -7,8 +7,8 @@
 import pytest
 from test_brain import CLASSES, S
 
-from hopmill.brain import Courier
-from hopmill.interface import (
+from message_relay.policy.delivery_policy import Courier
+from message_relay.model import (
     AttemptEnded,
     EndpointsListed,
     EndpointState,
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -8,9 +8,9 @@
 import pytest
 from loopback import ROOT, answer, bounded, courier, settings
 
-from hopmill.net import console as c
-from hopmill.net.config import ConfigError, load
-from hopmill.net.counters import Counters, escape
+from message_relay.server import admin_console as c
+from message_relay.server.configuration import ConfigError, load
+from message_relay.server.metrics import Counters, escape
 
 
 class Asked:
@@ -231,7 +231,12 @@
 async def test_a_console_that_cannot_be_bound_ends_the_start(fleet):
     env = {**fleet.env(), "LB_CONSOLE": "192.0.2.1:1"}
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "hopmill", env={**os.environ, **env}, cwd=ROOT, stderr=asyncio.subprocess.PIPE
+        sys.executable,
+        "-m",
+        "message_relay",
+        env={**os.environ, **env},
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
     )
     _, err = await bounded(process.communicate())
-    assert process.returncode == 1 and err.startswith(b"hopmill: cannot start: ")
+    assert process.returncode == 1 and err.startswith(b"message-relay: cannot start: ")
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -4,8 +4,8 @@
 
 from loopback import answer, courier
 
-from hopmill.brain import Courier
-from hopmill.interface import (
+from message_relay.policy.delivery_policy import Courier
+from message_relay.model import (
     AttemptEnded,
     EndpointCordoned,
     EndpointsListed,
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -8,8 +8,8 @@
 import pytest
 from loopback import Client, Discovery, Fleet, answer, bounded, courier, settings
 
-from hopmill.interface import AttemptEnded, EndpointState, LoadReported
-from hopmill.net.config import ConfigError, load
+from message_relay.model import AttemptEnded, EndpointState, LoadReported
+from message_relay.server.configuration import ConfigError, load
 
 
 @courier
@@ -169,7 +169,7 @@
 
 def test_a_silent_watch_is_opened_again(tmp_path, monkeypatch):
     # A cut connection stays open and silent: only the missing empty lines tell.
-    monkeypatch.setattr("hopmill.net.discovery.SILENCE_S", 0.2)
+    monkeypatch.setattr("message_relay.server.discovery.endpoint_watch.SILENCE_S", 0.2)
 
     class Mute(Discovery):
         def _push(self, line):
@@ -248,7 +248,7 @@
         raise OSError(28, "No space left on device")
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("hopmill.net.state.os.write", fail)
+        patch.setattr("message_relay.server.journal.journal.os.write", fail)
         assert (await client.put("m1")).startswith("-BUSY")
     assert await client.put("m2") == "+OK"
     assert (await e.call())[1]["x-request-id"] == "m2"  # m1 was refused, so it did not run
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -6,8 +6,8 @@
 import pytest
 from loopback import courier
 
-from hopmill.net import discovery
-from hopmill.net.discovery import Watch
+from message_relay.server.discovery import endpoint_watch as discovery
+from message_relay.server.discovery.endpoint_watch import Watch
 
 TOLD_S = 6.0  # the operators' term, not the program's figure
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,8 +3,8 @@
 import pytest
 from test_brain import CLASSES, Host, S, of
 
-from hopmill.brain import Courier
-from hopmill.interface import (
+from message_relay.policy.delivery_policy import Courier
+from message_relay.model import (
     AttemptEnded,
     CloseIdle,
     EndpointsListed,
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -4,7 +4,7 @@
 
 from loopback import bounded, courier
 
-from hopmill.net import clients as server
+from message_relay.server.resp import server
 
 
 def kept(host):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,8 +14,8 @@
 import pytest
 from loopback import ROOT, Client, Endpoint, answer, bounded, courier, free_port, read_request, settings
 
-from hopmill.brain import Courier
-from hopmill.interface import (
+from message_relay.policy.delivery_policy import Courier
+from message_relay.model import (
     AttemptEnded,
     Effect,
     EndpointCordoned,
@@ -31,11 +31,11 @@
     Send,
     Settings,
 )
-from hopmill.net import handover as h
-from hopmill.net.config import load
-from hopmill.net.console import Refused
-from hopmill.net.host import Host
-from hopmill.net.state import Journal, Taken
+from message_relay.server import hot_restart as h
+from message_relay.server.configuration import load
+from message_relay.server.admin_console import Refused
+from message_relay.server.relay_server import Host
+from message_relay.server.journal.journal import Journal, Taken
 
 READY = EndpointState.READY
 
@@ -550,7 +550,7 @@
     return asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "hopmill",
+        "message_relay",
         env=env,
         cwd=ROOT,
         stderr=asyncio.subprocess.DEVNULL,
@@ -643,7 +643,7 @@
             "LB_FD": text,
         }
         done = subprocess.run(
-            [sys.executable, "-m", "hopmill"],
+            [sys.executable, "-m", "message_relay"],
             env=env,
             cwd=ROOT,
             capture_output=True,
@@ -651,5 +651,5 @@
             timeout=20,
             pass_fds=[fd],
         )
-    assert done.returncode == 2 and done.stderr.startswith("hopmill: LB_FD: ")
+    assert done.returncode == 2 and done.stderr.startswith("message-relay: LB_FD: ")
     assert done.stderr.count("\n") == 1
--- a/tests/test_quiesce.py
+++ b/tests/test_quiesce.py
@@ -4,7 +4,7 @@
 
 from loopback import Client, answer, bounded, courier
 
-from hopmill.net import host as h
+from message_relay.server import relay_server as h
 
 PING = Client.command(b"PING")
 
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -10,7 +10,7 @@
 
 from loopback import ROOT, Client, answer, bounded, courier
 
-from hopmill.net.state import Held, Journal, JournalFull, frame
+from message_relay.server.journal.journal import Held, Journal, JournalFull, frame
 
 
 @courier
@@ -237,9 +237,9 @@
 
 def test_a_wrong_configuration_ends_with_one_line_and_status_2(tmp_path):
     env = {**os.environ, "LB_CONFIG": str(tmp_path / "none"), "LB_STATE": str(tmp_path)}
-    command = [sys.executable, "-m", "hopmill"]
+    command = [sys.executable, "-m", "message_relay"]
     done = subprocess.run(command, env=env, cwd=ROOT, capture_output=True, text=True, timeout=20)
-    assert done.returncode == 2 and done.stderr.startswith("hopmill: LB_CONFIG: ")
+    assert done.returncode == 2 and done.stderr.startswith("message-relay: LB_CONFIG: ")
     assert done.stderr.count("\n") == 1
 
 
@@ -247,7 +247,7 @@
     # Kept for half a minute at 160 bytes each, twice, those of a few hundred messages a second filled the
     # disk: everything was refused then, with a compaction for each try.
     now = [1000.0]
-    monkeypatch.setattr("hopmill.net.state.time.time", lambda: now[0])
+    monkeypatch.setattr("message_relay.server.journal.journal.time.time", lambda: now[0])
     journal = Journal(tmp_path, 1_000_000, key_window_s=12.0).acquire()
     compactions = []
     compact = journal.compact
--- a/tests/test_restored.py
+++ b/tests/test_restored.py
@@ -7,7 +7,7 @@
 from loopback import Fleet, bounded
 from test_brain import CLASSES, Host, S, of
 
-from hopmill.interface import Fail, MessageArrived, Refuse, Result, Send
+from message_relay.model import Fail, MessageArrived, Refuse, Result, Send
 
 SMALL, LARGE = 2, 200
 RESTORED, SLOTS = 30, 4
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,8 +6,8 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from hopmill.brain import WINDOW_SHARE, Courier
-from hopmill.interface import (
+from message_relay.policy.delivery_policy import WINDOW_SHARE, Courier
+from message_relay.model import (
     AttemptEnded,
     Effect,
     EndpointsListed,
--- a/tests/test_short_window.py
+++ b/tests/test_short_window.py
@@ -6,7 +6,7 @@
 import pytest
 from loopback import Fleet, bounded
 
-from hopmill.net.state import Held, Journal
+from message_relay.server.journal.journal import Held, Journal
 
 WINDOW_S = 1.0
 KEYED = 1  # the class
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -2,7 +2,7 @@
 
 from test_brain import CLASSES, Host, S, of
 
-from hopmill.interface import (
+from message_relay.model import (
     AttemptEnded,
     EndpointsListed,
     EndpointState,
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -7,9 +7,9 @@
 from loopback import Endpoint, answer, bounded, courier
 from test_calls import Outcomes
 
-from hopmill.interface import Result
-from hopmill.net import calls as c
-from hopmill.net.http import Answer, Exchange
+from message_relay.model import Result
+from message_relay.server.endpoint_calls import client as c
+from message_relay.server.http.connection import Answer, Exchange
 
 OK = c.Outcome(Result.OK, over=True)
 MAY_HAVE_RUN = c.Outcome(Result.ERROR, spoilt=True)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -12,13 +12,13 @@
 from loopback import Client, Fleet, bounded
 from policy_scenarios import CLASSES, SCENARIOS, play
 
-from hopmill import interface as i
-from hopmill.brain import Courier
-from hopmill.net import handover as h
-from hopmill.net import state
-from hopmill.net.config import load
-from hopmill.net.host import Host
-from hopmill.net.state import Held, Journal
+from message_relay import model as i
+from message_relay.policy.delivery_policy import Courier
+from message_relay.server import hot_restart as h
+from message_relay.server.journal import journal as state
+from message_relay.server.configuration import load
+from message_relay.server.relay_server import Host
+from message_relay.server.journal.journal import Held, Journal
 
 FIXTURES = pathlib.Path(__file__).parent / "fixtures"
 T = 1_800_000_000.0  # seconds; the clock of the process that wrote the journal
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from hopmill import interface as i
-from hopmill import wire
+from message_relay import model as i
+from message_relay.simulator_adapter import frames as wire
 
 SETTINGS = {
     "classes": [
@@ -71,7 +71,7 @@
 
 def run(data, **env):
     return subprocess.run(
-        [sys.executable, "-m", "hopmill.simhost"],
+        [sys.executable, "-m", "message_relay.simulator_adapter"],
         input=data,
         capture_output=True,
         env={**os.environ, **env},
@@ -228,7 +228,7 @@
 
 
 def test_an_exception_in_the_brain_is_reported_as_a_fault(monkeypatch):
-    from hopmill import simhost
+    from message_relay.simulator_adapter import __main__ as simhost
 
     monkeypatch.setattr(simhost.Courier, "handle", lambda *a: 1 / 0)
     data = begin_batch()
