--- a/message_relay/policy/__init__.py
+++ b/message_relay/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the relay: events in, actions out, with the time and the seed given."""
+"""Every decision of the relay. Pure: events in, actions out; the time and the seed are given."""
--- /dev/null
+++ b/message_relay/policy/attempts.py
@@ -0,0 +1,160 @@
+"""Attempts: calls are sent while slots are free, and their outcomes decide what comes next."""
+
+from message_relay import model
+from message_relay.model import AttemptResult
+from message_relay.policy import (
+    connection_reuse,
+    final_answer,
+    outlier_detection,
+    retry,
+    selection,
+    timeouts,
+)
+from message_relay.policy.slow_start import SHORT_FAULT_US
+from message_relay.policy_state import Call, Endpoint, Message, PolicyState
+
+FAST_FAILURE_US = 200_000  # a first attempt that failed this soon may be retried at once, outage or not
+RETRY_AFTER_ROUNDING_US = 1_000  # a Retry-After comes in cut milliseconds: nothing falls just inside its end
+NOT_APPLIED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_ATTEMPTED)
+
+
+def dispatch(state: PolicyState) -> None:
+    """Send what may go, the most urgent first, while slots are free."""
+    waiting = (destination for destination in state.destinations.values() if destination.queue)
+    selected = {d.number: candidate for d in waiting if (candidate := selection.select(state, d))}
+    while selected and state.in_flight < state.settings.call_slots:
+        number = min(selected, key=lambda n: selected[n].order)
+        candidate = selected.pop(number)
+        _send_call(state, candidate.message, candidate.endpoint)
+        destination = state.destinations[number]
+        single = state.settings.kinds[destination.kind].max_batch_size == 1
+        if destination.queue and single and (following := selection.select(state, destination)):
+            selected[number] = following
+
+
+def _send_call(state: PolicyState, message: Message, endpoint: Endpoint) -> None:
+    group, circuit = endpoint.group, endpoint.circuit
+    call = Call(endpoint, state.now_us, only_call=not endpoint.in_flight)
+    state.count_in_flight(call, 1)
+    endpoint.in_flight[id(call)] = call
+    single = message.message_class.idempotency is model.Idempotency.NON_IDEMPOTENT
+    call.require_new_connection = single and connection_reuse.resets_in_excess(state)
+    _take_idle_connection(state, call)
+    if group.rate_limit_per_s:
+        group.bucket.tokens -= 1.0
+    if circuit.open:
+        circuit.half_open_call = call
+    if circuit.slow_start_since_us >= 0 or circuit.open and state.large_fleet:
+        circuit.bucket.tokens -= 1.0
+    group.recovery.bucket.tokens -= 1.0
+    for member in (message, *selection.batch_companions(state, message, endpoint)):
+        _start_attempt(state, member, call)
+
+
+def _take_idle_connection(state: PolicyState, call: Call) -> None:
+    """The server uses the connection that came free last; ones too old to be trusted are closed first."""
+    endpoint, now = call.endpoint, state.now_us
+    oldest_us = now - state.statistics.idle_reuse_limit_us
+    if endpoint.idle_since_us and not call.require_new_connection:
+        newest_us = endpoint.idle_since_us[-1]
+        if newest_us > oldest_us:
+            call.connection_idle_us = now - newest_us
+        elif newest_us > now - state.settings.connection_idle_us:
+            state.actions.append(model.CloseIdleConnections(endpoint.id))
+    endpoint.idle_since_us = [since_us for since_us in endpoint.idle_since_us if since_us > oldest_us]
+    if not call.require_new_connection:
+        endpoint.idle_since_us = endpoint.idle_since_us[:-1]
+
+
+def _start_attempt(state: PolicyState, message: Message, call: Call) -> None:
+    reused_us, new_us = timeouts.attempt_timeouts_us(state, message, call)
+    state.start_attempt(message, call)
+    likely_us = new_us if call.connection_idle_us < 0 else reused_us
+    action = model.SendAttempt(message.id, call.endpoint.id, likely_us, new_us, call.require_new_connection)
+    state.actions.append(action)
+
+
+def record_outcome(state: PolicyState, event: model.AttemptEnded) -> None:
+    """An attempt has ended: learn from its call, then answer, retry or forget its message."""
+    call, message = state.calls.pop((event.message, event.attempt), (None, None))
+    if call is None or message is None:
+        return
+    call.open_attempts -= 1
+    message.in_flight -= 1
+    _release_connection(state, call, event)
+    group = call.endpoint.group
+    if event.retry_after_us:  # heeded for each message: those of one batch may bring different ones
+        until_us = state.now_us + event.retry_after_us + RETRY_AFTER_ROUNDING_US
+        group.retry_after_until_us = max(group.retry_after_until_us, until_us)
+    _judge_call(state, call, event)
+    state.forget_if_unused(call.endpoint)
+    ambiguous = event.result in (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
+    if ambiguous and message.order_key and state.settings.order_key_pause_us:
+        state.order_pauses[message.order_key] = state.now_us + state.settings.order_key_pause_us
+    if message.closed or event.message_ended or message.streaming:
+        state.close_message(message)
+        return
+    if event.result not in NOT_APPLIED and message.possibly_applied_at_us < 0:
+        message.possibly_applied_at_us, message.possibly_applied_zone = call.sent_at_us, call.endpoint.zone
+    if not message.in_flight:
+        _retry_or_finish(state, message, call, event)
+
+
+def _release_connection(state: PolicyState, call: Call, event: model.AttemptEnded) -> None:
+    endpoint = call.endpoint
+    if event.new_connection is not None and event.new_connection != (call.connection_idle_us < 0):
+        call.connection_idle_us = -1 if event.new_connection else 0
+        if event.new_connection:  # none was idle, against what was thought
+            endpoint.idle_since_us.clear()
+    if call.open_attempts:
+        return
+    state.count_in_flight(call, -1)
+    endpoint.in_flight.pop(id(call), None)
+    if event.result in (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED):
+        if state.statistics.idle_reuse_limit_us or endpoint.group.destination.queue:
+            endpoint.idle_since_us.append(state.now_us)
+        else:
+            state.actions.append(model.CloseIdleConnections(endpoint.id))
+
+
+def _judge_call(state: PolicyState, call: Call, event: model.AttemptEnded) -> None:
+    endpoint, group, circuit = call.endpoint, call.endpoint.group, call.endpoint.circuit
+    if not call.judged and not _is_silent(call, event):
+        call.judged = True
+        if event.result is not AttemptResult.REJECTED:
+            timeouts.record_slot_occupancy(state, group, event.latency_us)
+        # A malformed response is no fault of the endpoint by itself.
+        if not event.malformed or state.now_us - endpoint.last_success_at_us > SHORT_FAULT_US:
+            outlier_detection.judge(state, call, event)
+    if call.open_attempts:
+        return
+    if circuit.half_open_call is call:
+        circuit.half_open_call = None
+    if not call.judged and event.result is AttemptResult.NOT_ATTEMPTED:  # no call came of it
+        group.bucket.tokens += 1.0
+        circuit.bucket.tokens = min(1.0, circuit.bucket.tokens + 1.0)
+        group.recovery.bucket.tokens += 1.0
+
+
+def _is_silent(call: Call, event: model.AttemptEnded) -> bool:
+    """A message of a batch that had ended, or whose own time was up first, says nothing of its call."""
+    if event.result in (AttemptResult.CANCELLED, AttemptResult.NOT_ATTEMPTED):
+        return True
+    return call.open_attempts > 0 and event.result in (AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED)
+
+
+def _retry_or_finish(state: PolicyState, message: Message, call: Call, event: model.AttemptEnded) -> None:
+    not_attempted = event.result is AttemptResult.NOT_ATTEMPTED
+    wait_us = 0 if not_attempted else retry.backoff_us(state, message.attempts - 1)
+    last_start_us = retry.last_start_us(state, message)
+    overloaded = event.result is AttemptResult.REJECTED and not call.connection_table_full
+    if overloaded and not retry.outlasts_rejection(state, message):
+        final_answer.finish(state, message, event.retry_after_us)
+    elif message.attempts >= state.max_attempts or state.now_us + wait_us >= last_start_us:
+        final_answer.finish(state, message)
+    else:
+        if last_start_us < message.deadline_us - state.margin_us:
+            state.schedule_expiry(last_start_us, message)
+        message.ready_at_us = state.now_us + wait_us
+        message.fast_retry = message.attempts == 1 and event.latency_us < FAST_FAILURE_US
+        message.destination.queue.append(message)
--- /dev/null
+++ b/message_relay/policy/concurrency_window.py
@@ -0,0 +1,45 @@
+"""Windows: calls in flight to a group, and connections to an endpoint, that were seen to be taken."""
+
+from message_relay.policy_state import Endpoint, EndpointGroup, PolicyState
+
+TABLE_RETRY_US = 2_000_000  # one more connection than a full table took is tried after this
+
+
+def grow(state: PolicyState, group: EndpointGroup) -> None:
+    """A call succeeded."""
+    group.concurrency_window = min(state.destination_limit, group.concurrency_window + 1)
+
+
+def shrink(group: EndpointGroup) -> None:
+    """A single call was lost."""
+    group.concurrency_window = max(1.0, group.concurrency_window - 1)
+
+
+def halve(group: EndpointGroup) -> None:
+    """The group shows that it has too much to do."""
+    group.concurrency_window = max(1.0, group.concurrency_window / 2)
+
+
+def record_full_table(state: PolicyState, endpoint: Endpoint) -> None:
+    """The endpoint took no more connections than it has now."""
+    reused = sum(call.connection_idle_us >= 0 for call in endpoint.in_flight.values())
+    endpoint.connection_limit = max(1, reused + len(endpoint.idle_since_us))
+    endpoint.connection_limit_at_us = state.now_us
+
+
+def grow_table(state: PolicyState, endpoint: Endpoint) -> None:
+    """A call succeeded: allow one more connection, some time after the table was full."""
+    if state.now_us - endpoint.connection_limit_at_us > TABLE_RETRY_US:
+        endpoint.connection_limit += 1
+        endpoint.connection_limit_at_us = state.now_us
+
+
+def is_full(state: PolicyState, endpoint: Endpoint) -> bool:
+    """Whether no slot, window or connection is left for one more call there."""
+    group = endpoint.group
+    return (
+        state.in_flight >= state.settings.call_slots
+        or group.destination.in_flight >= state.destination_limit
+        or group.in_flight >= int(group.concurrency_window)
+        or len(endpoint.in_flight) >= endpoint.connection_limit
+    )
--- /dev/null
+++ b/message_relay/policy/connection_reuse.py
@@ -0,0 +1,52 @@
+"""How long an idle connection may be reused, from what is lost on reused ones and on new ones."""
+
+from message_relay.model import AttemptResult
+from message_relay.policy_state import Call, ConnectionRates, PolicyState
+
+RESET_MEMORY = 1 / 16  # weight of the newest call in the shares that are reset
+UNANSWERED_MEMORY = 1 / 32  # and in the shares that go unanswered
+EXCESS_LOSS_FACTOR, EXCESS_LOSS_SHARE = 1.5, 0.05  # reused connections lose more from this much on
+REUSE_CUT, REUSE_GROWTH = 0.5, 1.25  # connections are trusted for this part of the age at which one failed
+# Messages that must not be repeated get a new connection where reused ones are reset so much more often.
+EXCESS_RESET_SHARE = 0.08
+
+
+def record(state: PolicyState, result: AttemptResult, call: Call) -> None:
+    """Count the outcome of a call; one that is lost on an idle connection makes for shorter reuse."""
+    statistics = state.statistics
+    if result in (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.RESET):
+        _count(statistics.reset_rates, call, result is AttemptResult.RESET, RESET_MEMORY)
+    if result is not AttemptResult.CONNECT_FAILED:
+        _count(statistics.unanswered_rates, call, result is AttemptResult.TIMEOUT, UNANSWERED_MEMORY)
+    if call.connection_idle_us < 0 or result not in (AttemptResult.TIMEOUT, AttemptResult.RESET):
+        return
+    # Calls that are lost on new connections just as often say nothing of how long one may be kept.
+    rates = statistics.reset_rates if result is AttemptResult.RESET else statistics.unanswered_rates
+    if rates.reused > EXCESS_LOSS_FACTOR * rates.new + EXCESS_LOSS_SHARE:
+        # A connection was dropped unseen while it was idle: older ones are closed before a call.
+        statistics.lost_idle_calls += 1
+        if statistics.lost_idle_calls > 1:
+            age_us = max(call.connection_idle_us, 2 * call.endpoint.group.latency_mean_us)
+            statistics.idle_reuse_limit_us = min(statistics.idle_reuse_limit_us, int(REUSE_CUT * age_us))
+
+
+def _count(rates: ConnectionRates, call: Call, lost: bool, memory: float) -> None:
+    if call.connection_idle_us >= 0:
+        rates.reused += (lost - rates.reused) * memory
+    else:
+        rates.new += (lost - rates.new) * memory
+
+
+def record_success(state: PolicyState, call: Call) -> None:
+    """A call that was answered on a connection about as old as is trusted makes for longer reuse."""
+    statistics = state.statistics
+    if call.connection_idle_us > REUSE_CUT * REUSE_CUT * statistics.idle_reuse_limit_us:
+        grown_us = int(statistics.idle_reuse_limit_us * REUSE_GROWTH)
+        statistics.idle_reuse_limit_us = min(state.settings.connection_idle_us, grown_us)
+        statistics.lost_idle_calls = 0
+
+
+def resets_in_excess(state: PolicyState) -> bool:
+    """Whether reused connections are reset so much more often that a single attempt needs a new one."""
+    rates = state.statistics.reset_rates
+    return rates.reused > rates.new + EXCESS_RESET_SHARE
--- /dev/null
+++ b/message_relay/policy/eligibility.py
@@ -0,0 +1,95 @@
+"""Which endpoints may get a call now, and which messages may be attempted there."""
+
+import math
+
+from message_relay.model import EndpointState, Idempotency, KeyScope
+from message_relay.policy import (
+    circuit_breaker,
+    concurrency_window,
+    outlier_detection,
+    rate_limiter,
+    recovery_budget,
+    retry,
+    slow_start,
+    timeouts,
+)
+from message_relay.policy_state import Endpoint, Message, PolicyState
+
+# Share of ambiguous failures over which messages that must not be repeated wait, and how long at a time.
+AMBIGUOUS_FAILURE_LIMIT, AMBIGUOUS_FAILURE_WAIT_US = 0.15, 250_000
+ROUND_TRIPS_TO_WAIT = 4  # they wait only with more time left than so many
+
+
+def endpoint_admits(state: PolicyState, endpoint: Endpoint, fast_retry: bool = False) -> bool:
+    """Whether the endpoint may get a call now; fast_retry: for a message that failed fast."""
+    group, now, circuit = endpoint.group, state.now_us, endpoint.circuit
+    if (
+        endpoint.cordoned
+        or endpoint.state is not EndpointState.READY
+        or concurrency_window.is_full(state, endpoint)
+    ):
+        return False
+    if now < group.retry_after_until_us:
+        state.wake(group.retry_after_until_us)
+        return False
+    if (wait_us := recovery_budget.wait_us(state, group)) and not fast_retry:
+        state.wake(now + wait_us)
+        return False
+    if circuit.open and not circuit_breaker.admits_half_open(state, circuit, fast_retry):
+        return False
+    if circuit.slow_start_since_us >= 0 and (wait_us := slow_start.wait_us(state, endpoint)):
+        state.wake(now + wait_us)
+        return False
+    if rate_limiter.tokens(state, group) < 1.0:
+        state.wake(max(now, group.bucket.updated_at_us) + group.bucket.wait_us(group.rate_limit_per_s))
+        return False
+    return True
+
+
+def attempt_allowed(state: PolicyState, message: Message, endpoint: Endpoint) -> bool:
+    """Whether the message may be attempted at an endpoint that admits calls."""
+    group, circuit = endpoint.group, endpoint.circuit
+    left_us = min(message.deadline_us, state.shutdown_at_us) - state.now_us - state.margin_us
+    if state.shutdown_at_us < math.inf and left_us < timeouts.answer_timeout_us(state, group):
+        return False  # it might be cut off at the end
+    if message.closed or message.in_flight or message.attempts >= state.max_attempts or left_us <= 0:
+        return False
+    if state.now_us < message.ready_at_us:
+        state.wake(message.ready_at_us)
+        return False
+    unpaid = state.large_fleet and circuit.open and circuit.bucket.tokens < 1.0
+    if not message.fast_retry and (unpaid or recovery_budget.wait_us(state, group)):
+        return False
+    if message.possibly_applied_at_us >= 0 and not _repeat_allowed(state, message, endpoint):
+        return False
+    if message.order_key and not _order_allows(state, message):
+        return False
+    return not _waits_for_calm(state, message, endpoint, left_us)
+
+
+def _repeat_allowed(state: PolicyState, message: Message, endpoint: Endpoint) -> bool:
+    message_class = message.message_class
+    if message_class.idempotency is not Idempotency.KEYED:
+        return message_class.idempotency is Idempotency.IDEMPOTENT
+    in_scope = message_class.key_scope is not KeyScope.ZONE or endpoint.zone == message.possibly_applied_zone
+    return in_scope and state.now_us < retry.last_start_us(state, message)
+
+
+def _order_allows(state: PolicyState, message: Message) -> bool:
+    """Messages of one order key go one at a time, with a pause after an ambiguous failure."""
+    pause_until_us = state.order_pauses.get(message.order_key, 0)
+    paused = message.attempts == 0 and state.now_us < pause_until_us
+    if paused:
+        state.wake(pause_until_us)
+    return not paused and state.order_queues[message.order_key][0] is message
+
+
+def _waits_for_calm(state: PolicyState, message: Message, endpoint: Endpoint, left_us: float) -> bool:
+    """A message that must not be repeated is lost by an error: it waits while calls there fail so."""
+    if message.message_class.idempotency is not Idempotency.NON_IDEMPOTENT:
+        return False
+    calm = outlier_detection.ambiguous_failure_rate(state, endpoint) <= AMBIGUOUS_FAILURE_LIMIT
+    if calm or left_us <= ROUND_TRIPS_TO_WAIT * endpoint.group.latency_mean_us:
+        return False
+    state.wake(state.now_us + AMBIGUOUS_FAILURE_WAIT_US)
+    return True
--- /dev/null
+++ b/message_relay/policy/final_answer.py
@@ -0,0 +1,42 @@
+"""The one final answer of each message, and the end of its time."""
+
+import heapq
+
+from message_relay.model import FailMessage, Idempotency, KeyScope, RejectMessage
+from message_relay.policy import retry
+from message_relay.policy_state import Message, PolicyState
+
+
+def finish(state: PolicyState, message: Message, retry_after_us: int = 0) -> None:
+    """End a message: reject it if earlier attempts prove that another one does no harm, else fail it."""
+    left_us, longest_us = message.deadline_us - state.now_us, state.settings.max_retry_after_us
+    if not _repeat_harmless(message):
+        state.actions.append(FailMessage(message.id))
+    else:
+        if left_us > max(longest_us, message.message_class.latency_objective_us):
+            state.unreturned_rejections += 1
+        # None was given: half the longest that clients heed, where that leaves the message some time.
+        if not retry_after_us and left_us > longest_us:
+            retry_after_us = longest_us // 2
+        state.actions.append(RejectMessage(message.id, min(retry_after_us, longest_us)))
+    state.close_message(message)
+
+
+def _repeat_harmless(message: Message) -> bool:
+    message_class = message.message_class
+    not_applied = message.possibly_applied_at_us < 0 and not message.in_flight
+    keyed = message_class.idempotency is Idempotency.KEYED and message_class.key_scope is KeyScope.ALL
+    return message_class.idempotency is Idempotency.IDEMPOTENT or not_applied or keyed
+
+
+def expire(state: PolicyState) -> None:
+    """End the messages whose time is up."""
+    while state.expiries and state.expiries[0][0] <= state.now_us:
+        message = state.messages.get(heapq.heappop(state.expiries)[1])
+        if message is None or message.closed or message.streaming:
+            continue
+        if message.in_flight and state.now_us < message.deadline_us:
+            # Its attempt's time-out is due in a moment and answers.
+            state.schedule_expiry(message.deadline_us, message)
+        elif message.in_flight or state.now_us >= retry.last_start_us(state, message):
+            finish(state, message)
--- /dev/null
+++ b/message_relay/policy/membership.py
@@ -0,0 +1,31 @@
+"""Membership: endpoints come and go with the endpoint list."""
+
+from message_relay.model import EndpointEntry, EndpointListForm, EndpointListReceived, EndpointState
+from message_relay.policy import rate_limiter
+from message_relay.policy_state import PolicyState
+
+
+def apply_list(state: PolicyState, event: EndpointListReceived) -> None:
+    """Take over an endpoint list or a change of it."""
+    listed = {entry.endpoint for entry in event.entries}
+    for entry in event.entries:
+        _apply_entry(state, entry)
+    for number, endpoint in list(state.endpoints.items()):
+        if event.form is not EndpointListForm.DELTA and number not in listed:
+            endpoint.state = EndpointState.REMOVED
+        state.forget_if_unused(endpoint)
+
+
+def _apply_entry(state: PolicyState, entry: EndpointEntry) -> None:
+    endpoint = state.endpoints.get(entry.endpoint)
+    if endpoint is not None and endpoint.group.destination.number != entry.destination:
+        endpoint.state = EndpointState.REMOVED  # it moved: what was known of it is void
+        endpoint.group.endpoints.pop(endpoint.id)
+        endpoint = None
+    if endpoint is None:
+        if entry.state is EndpointState.REMOVED:
+            return
+        endpoint = state.add_endpoint(entry)
+    endpoint.state = entry.state
+    if state.settings.rate_limits_advertised and entry.rate_limit_per_s > 0:
+        rate_limiter.advertise(state, endpoint.group, entry.rate_limit_per_s)
--- /dev/null
+++ b/message_relay/policy/outlier_detection.py
@@ -0,0 +1,129 @@
+"""Outlier detection: judges the outcome of each call, and finds the endpoints that fail."""
+
+from message_relay.model import AttemptEnded, AttemptResult
+from message_relay.policy import (
+    circuit_breaker,
+    concurrency_window,
+    connection_reuse,
+    rate_limiter,
+    recovery_budget,
+    timeouts,
+)
+from message_relay.policy.circuit_breaker import FAILURE_MEMORY
+from message_relay.policy.slow_start import SHORT_FAULT_US
+from message_relay.policy_state import Call, Endpoint, EndpointGroup, PolicyState
+
+AMBIGUOUS_FADE_SHARE = 0.6  # the share of ambiguous failures fades in this part of the slow start's time
+LOST_CALL_FACTOR = 4.0  # with 1 in so many calls lost, time-outs are no evidence
+RECENT_SUCCESS_US = 1_000_000  # what answered this lately is not down: a failed connection is a full table
+SHUT_DOWN_RETRY_AFTER_US = (
+    2_500_000  # a longer one is a destination that was shut down, not the end of a span
+)
+SUCCESS_RATE_SPAN_US, SUCCESS_RATE_STEP = 4e6, 0.25
+
+
+def judge(state: PolicyState, call: Call, event: AttemptEnded) -> None:
+    """Learn from the outcome of a call."""
+    connection_reuse.record(state, event.result, call)
+    if event.result is AttemptResult.OK:
+        connection_reuse.record_success(state, call)
+        _record_success(state, call.endpoint, timeouts.without_setup_us(state, call, event.latency_us))
+        return
+    call.connection_table_full = _connection_table_full(state, call, event)
+    if call.connection_table_full:
+        concurrency_window.record_full_table(state, call.endpoint)
+    elif _is_failure(state, call, event):
+        _record_failure(state, call, event.result)
+
+
+def _connection_table_full(state: PolicyState, call: Call, event: AttemptEnded) -> bool:
+    """Rejected on a new connection while reused ones are answered: a full table, not a rate limit."""
+    if event.result is not AttemptResult.REJECTED or event.retry_after_us or state.large_fleet:
+        return False
+    answers = state.now_us - call.endpoint.last_success_at_us < SHORT_FAULT_US
+    return call.connection_idle_us < 0 and answers and not call.only_call
+
+
+def _is_failure(state: PolicyState, call: Call, event: AttemptEnded) -> bool:
+    """Whether the outcome speaks against the endpoint, once rates and windows have learned from it."""
+    endpoint, group = call.endpoint, call.endpoint.group
+    since_success_us = state.now_us - endpoint.last_success_at_us
+    if event.result is AttemptResult.RESET:
+        # An idle connection had died, if the endpoint answers on others.
+        return call.connection_idle_us < 0 or since_success_us >= SHORT_FAULT_US
+    if event.result is AttemptResult.REJECTED:
+        rate_limiter.record_rejection(state, group)
+        rate_limiter.record_overload(state, group, event.retry_after_us)
+        if event.retry_after_us > SHUT_DOWN_RETRY_AFTER_US:
+            _record_shutdown(state, endpoint)
+            return False
+        return since_success_us >= RECENT_SUCCESS_US
+    if event.result is AttemptResult.TIMEOUT:
+        if endpoint.last_success_at_us > call.sent_at_us:
+            # Calls sent with it or later were answered: a lost call, which must not put a group in recovery.
+            concurrency_window.shrink(group)
+            timeouts.record_lost_call(state)
+            return False
+        concurrency_window.halve(group)
+    elif event.result is AttemptResult.CONNECT_FAILED:
+        endpoint.idle_since_us.clear()
+        return since_success_us >= RECENT_SUCCESS_US or not endpoint.in_flight
+    return True
+
+
+def _record_shutdown(state: PolicyState, endpoint: Endpoint) -> None:
+    """A Retry-After so long that the destination was shut down; it holds for all of its endpoints."""
+    recovery_budget.record_failure(state, endpoint.group, shut_down=True)
+    for other in endpoint.group.endpoints.values():
+        if other is endpoint or not other.circuit.open:
+            other.failure_rate = other.circuit.failure_rate = 1.0
+            circuit_breaker.open_circuit(state, other, "shut_down")
+
+
+def _record_failure(state: PolicyState, call: Call, result: AttemptResult) -> None:
+    endpoint, circuit = call.endpoint, call.endpoint.circuit
+    if result in (AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET):
+        rate = ambiguous_failure_rate(state, endpoint)
+        endpoint.ambiguous_failure_rate = rate + FAILURE_MEMORY * (1 - rate)
+        endpoint.ambiguous_failure_at_us = state.now_us
+    if result is not AttemptResult.REJECTED:
+        endpoint.last_failure_at_us = state.now_us
+        recovery_budget.record_failure(state, endpoint.group)
+    # Where many calls are lost anyway, one without an answer says little of its endpoint.
+    timed_out = result is AttemptResult.TIMEOUT
+    expected = min(1.0, LOST_CALL_FACTOR * state.statistics.lost_call_rate) if timed_out else 0.0
+    endpoint.failure_rate += FAILURE_MEMORY * (1 - endpoint.failure_rate) * (1 - expected)
+    circuit.failure_rate += FAILURE_MEMORY * (1 - circuit.failure_rate) * (1 - expected)
+    circuit_breaker.record_failure(state, endpoint, result, call)
+
+
+def _record_success(state: PolicyState, endpoint: Endpoint, latency_us: int) -> None:
+    group = endpoint.group
+    short_fault = state.now_us - endpoint.last_success_at_us < SHORT_FAULT_US
+    concurrency_window.grow_table(state, endpoint)
+    endpoint.last_success_at_us = state.now_us
+    endpoint.failure_rate *= 1 - FAILURE_MEMORY
+    endpoint.circuit.failure_rate *= 1 - FAILURE_MEMORY
+    endpoint.ambiguous_failure_rate = ambiguous_failure_rate(state, endpoint) * (1 - FAILURE_MEMORY)
+    endpoint.ambiguous_failure_at_us = state.now_us
+    if latency_us:
+        timeouts.record_latency(state, group, latency_us)
+    _count_success(state, group)
+    rate_limiter.record_success(state, group)
+    concurrency_window.grow(state, group)
+    recovery_budget.record_success(state, group)
+    rate_limiter.grow(state, group)
+    circuit_breaker.record_success(state, endpoint, short_fault)
+
+
+def _count_success(state: PolicyState, group: EndpointGroup) -> None:
+    fade = max(0.0, 1 - (state.now_us - group.last_success_at_us) / SUCCESS_RATE_SPAN_US)
+    group.success_rate_per_s = group.success_rate_per_s * fade + SUCCESS_RATE_STEP
+    group.last_success_at_us = state.now_us
+
+
+def ambiguous_failure_rate(state: PolicyState, endpoint: Endpoint) -> float:
+    """Share of calls that failed in a way after which the message may have been applied; it fades."""
+    fade_us = max(1.0, AMBIGUOUS_FADE_SHARE * state.settings.slow_start_us)
+    since_us = state.now_us - endpoint.ambiguous_failure_at_us
+    return endpoint.ambiguous_failure_rate * max(0.0, 1 - since_us / fade_us)
--- /dev/null
+++ b/message_relay/policy/rate_limiter.py
@@ -0,0 +1,124 @@
+"""Pace: a group that rejects calls for overload, or tells its limit, gets calls at a rate."""
+
+import math
+
+from message_relay.policy import concurrency_window, retry
+from message_relay.policy.slow_start import ASSUMED_HEADROOM
+from message_relay.policy_state import EndpointGroup, PolicyState
+
+REJECTION_MEMORY = 0.5  # weight of the newest call in the share of rejected ones, of a group
+KIND_REJECTION_MEMORY = 1 / 16  # and of a kind of destination
+BURST_S, COSTLY_BURST_S = 0.8, 0.4  # seconds of its rate that a bucket holds; less where rejected calls cost
+OVERLOAD_CUT = 0.75  # on overload the rate shrinks to this share, once a round trip
+GROWTH = 0.1  # and a success adds this share of the advertised (or first learned) rate
+NEAR_REJECTED_RATE, CALM_US = (
+    0.9,
+    5_000_000,
+)  # near the rate rejected last it grows slowly, until so long after
+MIN_GROWTH_SHARE = 0.1
+SCARCE_SHARE = 0.1  # with less than this of a limit left for all, this instance keeps to its part
+MIN_ADVERTISED_SHARE = 0.4  # the rate does not fall further than to this part of the advertised one
+MIN_RATE_PER_S, MIN_LEARNED_RATE_PER_S = 0.2, 0.5
+
+
+def tokens(state: PolicyState, group: EndpointGroup) -> float:
+    """Calls that the group's rate allows now; 1 where it has none."""
+    rate = group.rate_limit_per_s
+    if not rate:
+        return 1.0
+    if state.now_us > group.bucket.updated_at_us:
+        burst_s = COSTLY_BURST_S if state.settings.rejected_call_cost else BURST_S
+        group.bucket.refill(state.now_us, rate, max(1.0, rate * burst_s))
+    return group.bucket.tokens
+
+
+def advertise(state: PolicyState, group: EndpointGroup, rate_limit_per_s: float) -> None:
+    """The endpoint list gives a rate limit, of all instances together."""
+    share = rate_limit_per_s / state.settings.instance_count
+    if abs(share - group.advertised_rate_per_s) > 1e-6 * share:
+        group.advertised_rate_per_s = share
+        _pace_at(state, group, share)
+
+
+def record_limit(state: PolicyState, group: EndpointGroup, limit_per_s: float, left_share: float) -> None:
+    """A load report tells the limit of all instances together: the pace keeps its ratio to this one's part.
+
+    Rejections alone tell late of a limit that fell, and not at all of one that rose. ``left_share`` is the
+    share of the limit that is left just now, below 0 if unknown.
+    """
+    share, before = limit_per_s / state.settings.instance_count, group.advertised_rate_per_s
+    if before:
+        group.rate_limit_per_s = group.rate_limit_per_s * share / before
+        group.last_rejected_rate_per_s = group.last_rejected_rate_per_s * share / before
+    else:
+        _pace_at(state, group, share)
+        group.bucket.tokens, group.bucket.updated_at_us = (
+            0.0,
+            state.now_us,
+        )  # the call that told it was a part
+    group.advertised_rate_per_s = share
+    if 0 <= left_share < SCARCE_SHARE:  # more than its part is taken from the others
+        group.rate_limit_per_s = min(group.rate_limit_per_s, share)
+
+
+def _pace_at(state: PolicyState, group: EndpointGroup, share: float) -> None:
+    # In a large fleet an equal part of a rate is a call in many seconds, and who needs it is chance: paced
+    # only from a rejection on, until no more come and nothing waits.
+    group.rate_limit_per_s = group.last_rejected_rate_per_s = 0.0 if state.large_fleet else share
+
+
+def record_overload(state: PolicyState, group: EndpointGroup, retry_after_us: int) -> None:
+    """A call was rejected for overload: cut the rate, halve the window, wait as told or back off."""
+    if state.now_us >= group.rate_cut_until_us:
+        round_trip_us = max(int(group.latency_mean_us), 2 * state.settings.turn_interval_us)
+        group.rate_cut_until_us = state.now_us + round_trip_us
+        concurrency_window.halve(group)
+        _cut(state, group)
+        group.consecutive_rejections += 1
+    wait_us = retry_after_us or retry.backoff_us(state, group.consecutive_rejections)
+    group.retry_after_until_us = max(group.retry_after_until_us, state.now_us + wait_us)
+    tokens(state, group)
+    group.bucket.tokens = min(group.bucket.tokens, 1.0)
+    group.bucket.updated_at_us = max(state.now_us, group.retry_after_until_us)
+
+
+def _cut(state: PolicyState, group: EndpointGroup) -> None:
+    rate, seen = group.rate_limit_per_s, group.success_rate_per_s
+    group.last_rejected_rate_per_s = rate or seen * ASSUMED_HEADROOM
+    if rate:
+        least = 0.0 if state.large_fleet else MIN_RATE_PER_S
+        floor = group.advertised_rate_per_s * MIN_ADVERTISED_SHARE
+        group.rate_limit_per_s = max(rate * OVERLOAD_CUT, floor, least)
+    elif state.large_fleet:
+        group.rate_limit_per_s = group.last_rejected_rate_per_s = group.advertised_rate_per_s
+        group.bucket.tokens, group.bucket.updated_at_us = state.random.random(), state.now_us
+    elif group.last_success_at_us:  # before any success the wait and a window of one will do
+        group.rate_limit_per_s = max(MIN_LEARNED_RATE_PER_S, seen * OVERLOAD_CUT)
+
+
+def record_rejection(state: PolicyState, group: EndpointGroup) -> None:
+    """Count a rejection in the shares of rejected calls."""
+    group.rejection_rate += (1 - group.rejection_rate) * REJECTION_MEMORY
+    rates, kind = state.statistics.rejection_rates, group.destination.kind
+    rates[kind] += (1 - rates[kind]) * KIND_REJECTION_MEMORY
+
+
+def record_success(state: PolicyState, group: EndpointGroup) -> None:
+    """Count a success in the shares of rejected calls."""
+    group.consecutive_rejections = 0
+    group.rejection_rate *= 1 - REJECTION_MEMORY
+    state.statistics.rejection_rates[group.destination.kind] *= 1 - KIND_REJECTION_MEMORY
+
+
+def grow(state: PolicyState, group: EndpointGroup) -> None:
+    """A call succeeded: raise the rate, fast up to where it was last rejected, then slowly, the faster the
+    longer ago that was: growth at one pace met a rejection in ten calls."""
+    rate, since_cut_us = group.rate_limit_per_s, state.now_us - group.rate_cut_until_us
+    if not rate:
+        return
+    near = rate >= NEAR_REJECTED_RATE * group.last_rejected_rate_per_s
+    step = GROWTH * min(1.0, max(MIN_GROWTH_SHARE, since_cut_us / CALM_US)) if near else GROWTH
+    most = group.advertised_rate_per_s * state.settings.instance_count or math.inf
+    group.rate_limit_per_s = min(most, rate + step * (group.advertised_rate_per_s or rate))
+    if state.large_fleet and not group.destination.queue and since_cut_us > CALM_US:
+        group.rate_limit_per_s = 0.0
--- /dev/null
+++ b/message_relay/policy/slow_start.py
@@ -0,0 +1,81 @@
+"""Slow start: a recovering endpoint gets a growing share of its usual calls."""
+
+from message_relay.policy_state import CircuitBreaker, Endpoint, EndpointGroup, PolicyState
+
+SHORT_FAULT_US = 1_000_000  # trouble that lasted no longer, with answers before and after, was no outage
+SAFE_OVERLOAD_SHARE = 0.8  # of the overload factor is used: the rest is for chance
+ASSUMED_HEADROOM = 2.0  # a capacity that is not advertised is taken for this multiple of the traffic seen
+MIN_WARM_RATE_PER_S = 0.5
+MIN_RATE_PER_S, MIN_RATE_LARGE_FLEET_PER_S = 0.05, 0.001
+
+
+def traffic_share_per_s(state: PolicyState, group: EndpointGroup) -> float:
+    """Calls a second that this instance usually sends there: of all instances, they sum to the total."""
+    least_us = state.settings.slow_start_us if state.large_fleet else SHORT_FAULT_US
+    observed_us = max(state.now_us - state.started_at_us, least_us, 1)
+    return group.advertised_rate_per_s or group.destination.arrivals / observed_us * 1e6
+
+
+def learn_warm_rate(state: PolicyState, endpoint: Endpoint) -> None:
+    """Set the rate that the slow start leads to.
+
+    A group that fails over and over shows few successes: its warm rate is the best one seen. But the floors
+    of hundreds of instances add up: there it is the own traffic, whose sum follows the total.
+    """
+    group, circuit = endpoint.group, endpoint.circuit
+    if state.large_fleet:
+        circuit.warm_rate_per_s = traffic_share_per_s(state, group)
+    else:
+        seen = group.advertised_rate_per_s or group.success_rate_per_s * ASSUMED_HEADROOM
+        circuit.warm_rate_per_s = max(circuit.warm_rate_per_s, seen, MIN_WARM_RATE_PER_S)
+
+
+def restart_cold(state: PolicyState, endpoint: Endpoint) -> None:
+    """The endpoint is put back after a restart: nothing known of it holds, and it starts slowly."""
+    learn_warm_rate(state, endpoint)
+    circuit = endpoint.circuit
+    circuit.open, circuit.failure_rate, circuit.probe_interval_us = False, 0.0, 0
+    circuit.slow_start_since_us = circuit.bucket.updated_at_us = state.now_us
+    circuit.bucket.tokens = state.random.random() if state.large_fleet else 1.0
+    endpoint.failure_rate = 0.0
+    endpoint.idle_since_us.clear()
+    state.log(f"endpoint put back: slow start, endpoint={endpoint.id}")
+
+
+def factor(state: PolicyState, circuit: CircuitBreaker) -> float:
+    """Share of its usual calls that a recovering endpoint may get now."""
+    first, duration_us = state.settings.slow_start_share, max(1, state.settings.slow_start_us)
+    since_us = state.now_us if circuit.open else circuit.slow_start_since_us
+    warm = first + (1 - first) * (state.now_us - since_us) / duration_us
+    return min(1.0, SAFE_OVERLOAD_SHARE * state.settings.overload_factor * warm)
+
+
+def is_over(state: PolicyState, circuit: CircuitBreaker) -> bool:
+    """Whether a slow start has come to its end."""
+    if circuit.slow_start_since_us < 0:
+        return False
+    elapsed_us = state.now_us - circuit.slow_start_since_us
+    return elapsed_us >= state.settings.slow_start_us or factor(state, circuit) >= 1
+
+
+def credit_arrival(state: PolicyState, group: EndpointGroup) -> None:
+    """In a large fleet a recovering group gets a share of the new messages: summed over the fleet it follows
+    the total. None is saved up during a Retry-After: all instances would use it in the same moment."""
+    circuit = group.shared_circuit
+    if circuit is None or state.now_us < group.retry_after_until_us:
+        return
+    if circuit.open or circuit.slow_start_since_us >= 0:
+        credit = factor(state, circuit) / len(group.destination.groups)
+        circuit.bucket.tokens = min(1.0, circuit.bucket.tokens + credit)
+
+
+def wait_us(state: PolicyState, endpoint: Endpoint) -> int:
+    """Microseconds until an endpoint in slow start may get its next call, 0 if it may now."""
+    circuit, group = endpoint.circuit, endpoint.group
+    sharing = 1 if state.large_fleet else group.endpoints_in_use()
+    least = MIN_RATE_LARGE_FLEET_PER_S if state.large_fleet else MIN_RATE_PER_S
+    # The warm rate may be from before a limit was told: after a restart in an outage no traffic is known.
+    warm = max(circuit.warm_rate_per_s, group.advertised_rate_per_s)
+    rate = max(factor(state, circuit) * warm / sharing, least)
+    circuit.bucket.refill(state.now_us, rate)
+    return 0 if circuit.bucket.tokens >= 1.0 else circuit.bucket.wait_us(rate)
--- a/message_relay/server/configuration.py
+++ b/message_relay/server/configuration.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from message_relay.simulator_adapter import frames as wire
+from message_relay.simulator_adapter import settings_json
 from message_relay.model import Settings
 
 Address = tuple[str, int]
@@ -138,6 +138,6 @@
     if not given:
         raise ConfigError("settings: lacks")
     try:
-        return wire.read_settings(json.dumps(given))
+        return settings_json.read_settings(json.dumps(given))
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from None
--- a/message_relay/server/endpoint_calls/client.py
+++ b/message_relay/server/endpoint_calls/client.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from message_relay.model import Result
+from message_relay.model import AttemptResult
 from message_relay.server.configuration import Address
 from message_relay.server.http.connection import LOCAL_ERRORS, Connection, Exchange
 
@@ -22,11 +22,11 @@
 MAX_ANSWER = 64 * 1024  # bytes of its body, as the protocol has it
 MAX_WAIT_S = 120.0  # a told wait over this is none that a destination would tell
 STATES = {
-    "done": Result.OK,
-    "failed": Result.ERROR,
-    "busy": Result.FULL,
-    "void": Result.MOOT,
-    "used_up": Result.MOOT,
+    "done": AttemptResult.OK,
+    "failed": AttemptResult.ERROR,
+    "busy": AttemptResult.REJECTED,
+    "void": AttemptResult.NOT_ATTEMPTED,
+    "used_up": AttemptResult.NOT_ATTEMPTED,
 }
 log = logging.getLogger(__name__)
 
@@ -52,7 +52,7 @@
 class Outcome:
     """How an attempt ended."""
 
-    result: Result
+    result: AttemptResult
     over: bool = False  # nothing more is owed for the message
     wait_us: int = 0  # a told wait
     spoilt: bool = False  # an answer came, but it could not be read
@@ -68,7 +68,7 @@
     ended: Callable[[Item, int, Outcome, int], None]  # item, endpoint, outcome, latency in us
     told_wait: Callable[[int, int], None]  # endpoint, us: at once, before any outcome
     reported: Callable[[int, dict[str, float]], None]  # endpoint, the values of a load report
-    probed: Callable[[int, Result, int], None]
+    probed: Callable[[int, AttemptResult, int], None]
 
 
 @dataclass
@@ -82,15 +82,17 @@
     """PROTOCOL's table of answers."""
     wait = told_wait(headers)
     if status == 200:
-        return Outcome(Result.OK, over=True, wait_us=wait)
+        return Outcome(AttemptResult.OK, over=True, wait_us=wait)
     if status in (429, 503):
         no_slot = headers.get("slots-taken") == "1"
-        return Outcome(Result.MOOT if no_slot else Result.FULL, wait_us=wait)
+        return Outcome(AttemptResult.NOT_ATTEMPTED if no_slot else AttemptResult.REJECTED, wait_us=wait)
     if status == 410:
-        return Outcome(Result.MOOT, over=True, wait_us=wait)
+        return Outcome(AttemptResult.NOT_ATTEMPTED, over=True, wait_us=wait)
     if status in (400, 413, 504):  # not sent
-        return Outcome(Result.MOOT, wait_us=wait)
-    return Outcome(Result.ERROR, wait_us=wait)  # 500, or what the protocol does not name: it may have run
+        return Outcome(AttemptResult.NOT_ATTEMPTED, wait_us=wait)
+    return Outcome(
+        AttemptResult.ERROR, wait_us=wait
+    )  # 500, or what the protocol does not name: it may have run
 
 
 def told_wait(headers: dict[str, str]) -> int:
@@ -162,7 +164,7 @@
     def first_line(self, status: int) -> None:
         """200 in the first line is true whatever follows, for a call with one message."""
         if status == 200 and not self.path and not self.bundle:
-            self.finish_all(Outcome(Result.OK, over=True))
+            self.finish_all(Outcome(AttemptResult.OK, over=True))
 
     def head(self, status: int, headers: dict[str, str]) -> None:
         self.status, self.headers = status, headers
@@ -183,15 +185,15 @@
         """Whole and well formed: only now does an answer prove that the call never ran, or that it is over.
         Behind a length that is too short the rest of the answer looks like noise, so with that it is none."""
         if self.path:
-            self.calls.probe_ended(self, Result.OK if self.status == 200 else Result.FULL)
+            self.calls.probe_ended(self, AttemptResult.OK if self.status == 200 else AttemptResult.REJECTED)
         elif self.status == 200 and self.bundle:
             wait = told_wait(self.headers)
             ends = bundle_outcomes(bytes(self.body), wait)
             for item in self.items:
                 # One that the answer leaves out may have run.
-                self.finish(item, ends.get(item.id, Outcome(Result.ERROR, wait_us=wait, spoilt=True)))
+                self.finish(item, ends.get(item.id, Outcome(AttemptResult.ERROR, wait_us=wait, spoilt=True)))
         elif noise:
-            self.finish_all(Outcome(Result.ERROR, wait_us=told_wait(self.headers), spoilt=True))
+            self.finish_all(Outcome(AttemptResult.ERROR, wait_us=told_wait(self.headers), spoilt=True))
         else:
             self.finish_all(single_outcome(self.status, self.headers))
         self.calls.release(self)
@@ -199,8 +201,8 @@
     def spoilt(self) -> None:
         """A failed attempt that may have run."""
         if self.path:
-            self.calls.probe_ended(self, Result.ERROR)
-        self.finish_all(Outcome(Result.ERROR, wait_us=told_wait(self.headers), spoilt=True))
+            self.calls.probe_ended(self, AttemptResult.ERROR)
+        self.finish_all(Outcome(AttemptResult.ERROR, wait_us=told_wait(self.headers), spoilt=True))
         self.calls.release(self)
 
     def _unfinished(self) -> None:
@@ -211,16 +213,16 @@
 
     def lost(self, written: bool) -> None:
         if self.path:
-            self.calls.probe_ended(self, Result.RESET)
-        self.finish_all(Outcome(Result.RESET if written else Result.CONNECT_FAILED))
+            self.calls.probe_ended(self, AttemptResult.RESET)
+        self.finish_all(Outcome(AttemptResult.RESET if written else AttemptResult.CONNECT_FAILED))
         self.calls.release(self)
 
     def timed_out(self) -> None:
         """The courier stops waiting: the connection goes too, or a late answer would meet the next call."""
         sent = self.connection is not None and self.connection.exchange is self and self.connection.written
         if self.path:
-            self.calls.probe_ended(self, Result.TIMEOUT)
-        outcome = Outcome(Result.TIMEOUT if sent else Result.CONNECT_FAILED)
+            self.calls.probe_ended(self, AttemptResult.TIMEOUT)
+        outcome = Outcome(AttemptResult.TIMEOUT if sent else AttemptResult.CONNECT_FAILED)
         self.abandon()
         self.finish_all(outcome)
 
@@ -300,7 +302,7 @@
         for call in list(self.out):
             if not any(item.begun for item in call.items):
                 call.abandon()
-                self._unsent(call, Result.MOOT)
+                self._unsent(call, AttemptResult.NOT_ATTEMPTED)
 
     def cancel(self, number: int, attempt: int) -> None:
         """Stop waiting for a single call; one in a bundle goes on with it."""
@@ -308,7 +310,9 @@
             item = call.items[0] if len(call.items) == 1 else None
             if item and item.number == number and item.attempt == attempt and not item.ended:
                 call.abandon()
-                call.finish(item, Outcome(Result.CANCELLED if item.begun else Result.MOOT))
+                call.finish(
+                    item, Outcome(AttemptResult.CANCELLED if item.begun else AttemptResult.NOT_ATTEMPTED)
+                )
 
     def _late(self, call: Call, item: Item) -> None:
         if item.ended:
@@ -316,12 +320,12 @@
         if sum(not i.ended for i in call.items) == 1:
             call.timed_out()
         else:
-            call.finish(item, Outcome(Result.TIMEOUT if item.begun else Result.CONNECT_FAILED))
+            call.finish(item, Outcome(AttemptResult.TIMEOUT if item.begun else AttemptResult.CONNECT_FAILED))
 
     def _start(self, call: Call) -> None:
         pool = self.pools.get(call.endpoint)
         if pool is None:
-            self._unsent(call, Result.MOOT)
+            self._unsent(call, AttemptResult.NOT_ATTEMPTED)
             return
         self.out.add(call)
         while pool.idle and not any(item.fresh for item in call.items):
@@ -340,7 +344,7 @@
             connection = Connection(self.loop, pool.address)
         except OSError as error:
             log.error("no socket for a call: %s", error)
-            self._unsent(call, Result.MOOT)
+            self._unsent(call, AttemptResult.NOT_ATTEMPTED)
             return
         self.opened += 1
         call.connection = connection
@@ -352,24 +356,29 @@
             connection.connect(lambda error: self._connected(call, connection, error))
         except OSError as error:
             connection.close()
-            self._unsent(call, Result.MOOT if error.errno in LOCAL_ERRORS else Result.CONNECT_FAILED)
+            self._unsent(
+                call,
+                AttemptResult.NOT_ATTEMPTED if error.errno in LOCAL_ERRORS else AttemptResult.CONNECT_FAILED,
+            )
 
     def _connected(self, call: Call, connection: Connection, error: OSError | None) -> None:
         if error is None:
             self._write(call, connection)
             return
-        self._unsent(call, Result.MOOT if error.errno in LOCAL_ERRORS else Result.CONNECT_FAILED)
+        self._unsent(
+            call, AttemptResult.NOT_ATTEMPTED if error.errno in LOCAL_ERRORS else AttemptResult.CONNECT_FAILED
+        )
 
     def _write(self, call: Call, connection: Connection) -> None:
         call.connection = connection
         items = [i for i in call.items if not i.ended]
         call.items = items
         if not items and not call.path or not self.hooks.may_write(call.endpoint):
-            self._unsent(call, Result.MOOT)
+            self._unsent(call, AttemptResult.NOT_ATTEMPTED)
             self._keep(call.endpoint, connection)
             return
         if items and not self.hooks.begin(items):
-            self._unsent(call, Result.MOOT)
+            self._unsent(call, AttemptResult.NOT_ATTEMPTED)
             self._keep(call.endpoint, connection)
             return
         for item in items:
@@ -402,13 +411,13 @@
 
     # Ending
 
-    def _unsent(self, call: Call, result: Result) -> None:
+    def _unsent(self, call: Call, result: AttemptResult) -> None:
         self._drop(call)
         if call.path:
             self.probe_ended(call, result)
         call.finish_all(Outcome(result))
 
-    def probe_ended(self, call: Call, result: Result) -> None:
+    def probe_ended(self, call: Call, result: AttemptResult) -> None:
         if call.path:
             call.path, latency = "", call.latency_us
             self.hooks.probed(call.endpoint, result, latency)
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -12,7 +12,8 @@
 from typing import Any
 
 from message_relay import model as i
-from message_relay.policy.delivery_policy import Courier
+from message_relay.policy.delivery_policy import DeliveryPolicy
+from message_relay.policy_snapshot import PolicySnapshot, capture
 from message_relay.server.endpoint_calls.client import Calls, Hooks, Item, Outcome
 from message_relay.server.resp.server import BadRequest, Client, ClientServer, Put, Reply
 from message_relay.server.configuration import Address, Config, ConfigError, parse_address
@@ -24,11 +25,11 @@
 STATES = {
     "in_service": i.EndpointState.READY,
     "terminating": i.EndpointState.DRAINING,
-    "terminated": i.EndpointState.GONE,
+    "terminated": i.EndpointState.REMOVED,
 }
 LONGEST = 10  # a message that wants to live longer than so many deadlines of its class is none of ours
 OVERDUE_S = 0.1  # a message this long past its time with no end is ended here: the last line of defence
-UNRUN = (i.Result.FULL, i.Result.CONNECT_FAILED, i.Result.MOOT)
+UNRUN = (i.AttemptResult.REJECTED, i.AttemptResult.CONNECT_FAILED, i.AttemptResult.NOT_ATTEMPTED)
 # Shares of the limit on open files; the rest is for calls, discovery, the journal and Python itself.
 CLIENT_SHARE, IDLE_SHARE = 0.5, 0.2
 # A planned restart, in seconds from SIGTERM: new clients come until LISTEN_S, calls may last until CALLS_S.
@@ -45,7 +46,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config) -> None:
         self.loop, self.config, self.s = loop, config, config.settings
-        self.courier = Courier(self.s, config.seed)
+        self.policy = DeliveryPolicy(self.s, config.seed)
         self.journal = Journal(
             config.state, config.disk_bytes, max(c.key_window_us for c in self.s.classes) / 1e6
         )
@@ -57,7 +58,7 @@
         self.uids: dict[str, int] = {}
         self.names: dict[int, str] = {}  # the other way round
         self.listed_ever = 0
-        self.entries: dict[int, i.ListEntry] = {}
+        self.entries: dict[int, i.EndpointEntry] = {}
         self.dests: set[int] = set()  # that ever stood in a list: its endpoints may only be gone for now
         self.waits: dict[tuple[int, int], int] = {}  # told waits, by destination or route: when they end
         self.events: list[i.Event] = []
@@ -66,7 +67,7 @@
         self.guards: dict[int, asyncio.TimerHandle] = {}
         self.attempts: dict[int, int] = {}  # numbers of the next attempts, as the decision module counts
         self.scheduled = False
-        self.last_turn = -self.s.tick_us
+        self.last_turn = -self.s.turn_interval_us
         self.closing_at = self.quiet_at = 0.0  # since SIGTERM; since operators asked to empty the courier
         self.emptying: asyncio.TimerHandle | None = None
         self.started = False  # this process owns the courier and serves
@@ -98,7 +99,7 @@
         )
         self.clients = ClientServer(self.put, max(8, int(config.sockets * CLIENT_SHARE)), self.not_ready)
         self.notices = Notices(loop, config.discovery, self._accepted)
-        self.watch = Watch(loop, config.discovery, config.known["rev"], self.listed, self.s.couriers)
+        self.watch = Watch(loop, config.discovery, config.known["rev"], self.listed, self.s.instance_count)
 
     async def start(self) -> int:
         """Alone: nobody else serves. Returns the port."""
@@ -108,7 +109,7 @@
 
     def warm(self) -> None:
         """What can be done before this process owns anything."""
-        self.listed({"all": True, "targets": self.config.known["targets"]}, i.ListForm.CACHED)
+        self.listed({"all": True, "targets": self.config.known["targets"]}, i.EndpointListForm.CACHED)
         self.watch.open()
 
     async def warmed(self, seconds: float) -> None:
@@ -170,7 +171,7 @@
         self.attempts.update({n: t for n, t in tries.items() if n in self.journal.held})
         for endpoint, items in given["calls"]:
             self.inherited.update({(n, attempt): self.there[endpoint] for n, attempt in items})
-        self.events.append(i.Inherited(brain, self.there))
+        self.events.append(i.StateImported(PolicySnapshot.from_wire(brain), self.there))
         return set(tries)
 
     def clock(self) -> int:
@@ -179,9 +180,9 @@
     def _mono(self, wall: float) -> int:
         return self.clock() + int((wall - time.time()) * 1e6)
 
-    def _arrival(self, m: Held, restored: bool = False) -> i.MessageArrived:
+    def _arrival(self, m: Held, restored: bool = False) -> i.MessageSubmitted:
         ran = m.may_have_run_at
-        return i.MessageArrived(
+        return i.MessageSubmitted(
             m.number,
             m.cls,
             m.dest,
@@ -206,7 +207,7 @@
         if self.scheduled or self.frozen:
             return
         self.scheduled = True
-        early = self.last_turn + self.s.tick_us - self.clock()
+        early = self.last_turn + self.s.turn_interval_us - self.clock()
         if early <= 0:
             self.loop.call_soon(self.turn)
         else:
@@ -221,10 +222,10 @@
         arrived, self.arrived = self.arrived, {}
         self.arriving.clear()
         try:
-            actions: Iterable[i.Action] = self.courier.handle(now, events)
+            actions: Iterable[i.Action] = self.policy.handle(now, events)
         except Exception:  # one bad turn must not end the process; each message still has its guard
             log.exception("the decision module failed on %d events", len(events))
-            actions = [i.Fail(n) for n in arrived]
+            actions = [i.FailMessage(n) for n in arrived]
         try:
             self._carry_out(list(actions), arrived)
         except Exception:
@@ -235,28 +236,30 @@
 
     def _carry_out(self, actions: list[i.Action], arrived: dict[int, tuple[Held, list[Reply]]]) -> None:
         for a in actions:
-            if isinstance(a, (i.Refuse, i.Fail)) and a.message in arrived:
+            if isinstance(a, (i.RejectMessage, i.FailMessage)) and a.message in arrived:
                 m, replies = arrived.pop(a.message)
-                self._count_end(m.cls, isinstance(a, i.Refuse))
+                self._count_end(m.cls, isinstance(a, i.RejectMessage))
                 for reply in replies:
-                    reply.send(refusal(a.retry_after_us) if isinstance(a, i.Refuse) else b"-ERR failed\r\n")
+                    reply.send(
+                        refusal(a.retry_after_us) if isinstance(a, i.RejectMessage) else b"-ERR failed\r\n"
+                    )
         for m, replies in arrived.values():
             self._take(m, replies)
         bundles: dict[int, list[Item]] = {}
         for a in actions:
-            if isinstance(a, i.Send):
+            if isinstance(a, i.SendAttempt):
                 self._send(a, bundles)
-            elif isinstance(a, (i.Refuse, i.Fail)):
+            elif isinstance(a, (i.RejectMessage, i.FailMessage)):
                 self._final(a)
             elif isinstance(a, i.SetTimer):
-                self.loop.call_later(a.delay_us / 1e6 + 5e-5, self.tell, i.TimerDue(a.token))
-            elif isinstance(a, i.CloseIdle):
+                self.loop.call_later(a.delay_us / 1e6 + 5e-5, self.tell, i.TimerFired(a.token))
+            elif isinstance(a, i.CloseIdleConnections):
                 self.calls.close_idle(a.endpoint)
-            elif isinstance(a, i.Cancel):
+            elif isinstance(a, i.CancelAttempt):
                 self.calls.cancel(a.message, a.attempt)
-            elif isinstance(a, i.Probe):
+            elif isinstance(a, i.CheckEndpointHealth):
                 self.calls.probe(a.endpoint)
-            elif isinstance(a, i.Log):
+            elif isinstance(a, i.LogMessage):
                 log.info("%s", a.text)
         for endpoint, items in bundles.items():
             most = self._batch(endpoint)
@@ -273,14 +276,14 @@
         tenant = self.tenants.get(put.tenant or "", -1) if self.tenants else 0
         if tenant < 0:
             raise BadRequest("t: no such tenant")
-        if self.s.classes[cls].effect is i.Effect.KEYED and not put.key:
+        if self.s.classes[cls].idempotency is i.Idempotency.KEYED and not put.key:
             raise BadRequest("k: lacks, and the class is keyed")
         if put.life_ms * 1000 > LONGEST * self.s.classes[cls].deadline_us:
             raise BadRequest("d: far over the deadline of the class")
         if self.dests and put.dest not in self.dests:
             raise BadRequest("dest: no such destination")
         if self.frozen:
-            reply.send(refusal(self.courier.come_back_us()))
+            reply.send(refusal(self.policy.come_back_us()))
             return
         if put.id in self.arriving:
             self.arrived[self.arriving[put.id]][1].append(reply)
@@ -289,9 +292,9 @@
             reply.send(b"+OK\r\n")  # handed in again on a new connection: it is, or was, taken care of
             return
         late = self.quiet_at and self.loop.time() > self.quiet_at + LATE_S
-        if late or self.journal.open + len(self.arrived) >= self.s.max_held:
+        if late or self.journal.open + len(self.arrived) >= self.s.max_open_messages:
             self.counters.handed_back(cls)
-            reply.send(refusal(self.courier.come_back_us()))
+            reply.send(refusal(self.policy.come_back_us()))
             return
         now = time.time()
         self.numbers += 1
@@ -321,7 +324,7 @@
             return
         if not m.ran_at:
             m.ran_at, m.ran_zone = old.may_have_run_at, old.may_have_run_zone
-        self.tell(i.MessageGone(old.number))
+        self.tell(i.MessageWithdrawn(old.number))
         last = self.attempts.get(old.number, 0) - 1
         self._end(old, "deferred", 0)
         self.calls.cancel(old.number, last)
@@ -329,15 +332,15 @@
     def _take(self, m: Held, replies: list[Reply]) -> None:
         text = b"+OK\r\n"
         if not any(r.wanted for r in replies):
-            self.tell(i.MessageGone(m.number))  # nobody heard that it was taken on
+            self.tell(i.MessageWithdrawn(m.number))  # nobody heard that it was taken on
             return
         try:
             self.journal.take(m)
         except OSError as error:
             log.error("not taken on: %s", error)
-            text = refusal(self.courier.come_back_us())
+            text = refusal(self.policy.come_back_us())
             self.counters.handed_back(m.cls)
-            self.tell(i.MessageGone(m.number))
+            self.tell(i.MessageWithdrawn(m.number))
         else:
             self._guard(m)
         for reply in replies:
@@ -353,16 +356,16 @@
             self.guards[number] = self.loop.call_later(OVERDUE_S, self._overdue, number)
         elif m and not m.status:
             log.error("message %s was overdue", m.id)
-            self.tell(i.MessageGone(number))
+            self.tell(i.MessageWithdrawn(number))
             self._end(m, "undeliverable", 0)
 
     # Ends
 
-    def _final(self, a: i.Refuse | i.Fail) -> None:
+    def _final(self, a: i.RejectMessage | i.FailMessage) -> None:
         m = self.journal.held.get(a.message)
         if m is None or m.status:
             return
-        if isinstance(a, i.Refuse):
+        if isinstance(a, i.RejectMessage):
             self._end(m, "deferred", -(-a.retry_after_us // 1000))
         else:
             self._end(m, "undeliverable", 0)
@@ -407,17 +410,29 @@
 
     def _batch(self, endpoint: int) -> int:
         entry = self.entries.get(endpoint)
-        return self.s.kinds[min(entry.kind, len(self.s.kinds) - 1)].batch if entry else 1
+        return self.s.kinds[min(entry.kind, len(self.s.kinds) - 1)].max_batch_size if entry else 1
 
-    def _send(self, a: i.Send, bundles: dict[int, list[Item]]) -> None:
+    def _send(self, a: i.SendAttempt, bundles: dict[int, list[Item]]) -> None:
         m = self.journal.held.get(a.message)
         attempt = self.attempts.get(a.message, m.tries if m else 0)
         self.attempts[a.message] = attempt + 1
         if m is None or m.status:
-            self.tell(i.AttemptEnded(a.message, attempt, a.endpoint, i.Result.MOOT, 0, m is None))
+            self.tell(
+                i.AttemptEnded(a.message, attempt, a.endpoint, i.AttemptResult.NOT_ATTEMPTED, 0, m is None)
+            )
             return
         zone = self.entries[a.endpoint].zone if a.endpoint in self.entries else -1
-        item = Item(m.number, attempt, m.id, m.key, m.body, a.timeout_us, a.fresh_timeout_us, a.fresh, zone)
+        item = Item(
+            m.number,
+            attempt,
+            m.id,
+            m.key,
+            m.body,
+            a.timeout_us,
+            a.new_connection_timeout_us,
+            a.require_new_connection,
+            zone,
+        )
         if self._batch(a.endpoint) > 1:
             bundles.setdefault(a.endpoint, []).append(item)
         else:
@@ -430,7 +445,9 @@
         longest = max(item.timeout_us for item in items)
         fresh = max(item.fresh_timeout_us for item in items)
         for item in items:
-            left = self._mono(self.journal.held[item.number].until) - self.clock() - 2 * self.s.tick_us
+            left = (
+                self._mono(self.journal.held[item.number].until) - self.clock() - 2 * self.s.turn_interval_us
+            )
             item.timeout_us = max(item.timeout_us, min(longest, left))
             item.fresh_timeout_us = max(item.fresh_timeout_us, min(fresh, left))
         try:
@@ -440,14 +457,14 @@
             for item in items:
                 if not item.ended:
                     item.ended = True
-                    result = i.Result.RESET if item.begun else i.Result.MOOT
+                    result = i.AttemptResult.RESET if item.begun else i.AttemptResult.NOT_ATTEMPTED
                     self._ended(item, endpoint, Outcome(result), 0)
 
     def _wait_key(self, endpoint: int) -> tuple[int, int]:
         entry = self.entries.get(endpoint)
         if entry is None:
             return (-1, endpoint)
-        apart = self.s.kinds[min(entry.kind, len(self.s.kinds) - 1)].routes_apart
+        apart = self.s.kinds[min(entry.kind, len(self.s.kinds) - 1)].independent_endpoints
         return (entry.destination, endpoint if apart else -1)
 
     def _told_wait(self, endpoint: int, wait_us: int) -> None:
@@ -457,8 +474,10 @@
         self.waits[key] = max(self.waits.get(key, 0), self.clock() + wait_us)
 
     def _reported(self, endpoint: int, values: dict[str, float]) -> None:
-        if all(name in values for name in self.s.report_fields):
-            self.tell(i.LoadReported(endpoint, tuple(values[name] for name in self.s.report_fields)))
+        if all(name in values for name in self.s.load_report_fields):
+            self.tell(
+                i.LoadReportReceived(endpoint, tuple(values[name] for name in self.s.load_report_fields))
+            )
 
     def _may_write(self, endpoint: int) -> bool:
         """News that came while a connection was being made holds for the call that waits for it."""
@@ -481,13 +500,13 @@
         """Its connection came up so late that its key may be known no more."""
         m = self.journal.held[number]
         cls = self.s.classes[m.cls]
-        ran = m.may_have_run_at if cls.effect is i.Effect.KEYED else 0.0
-        return bool(ran) and time.time() >= ran + (cls.key_window_us - self.courier.margin) / 1e6
+        ran = m.may_have_run_at if cls.idempotency is i.Idempotency.KEYED else 0.0
+        return bool(ran) and time.time() >= ran + (cls.key_window_us - self.policy.state.margin_us) / 1e6
 
     def _ended(self, item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
         m = self.journal.held.get(item.number)
         over = outcome.over or m is None
-        if m and not m.status and outcome.result is i.Result.OK:
+        if m and not m.status and outcome.result is i.AttemptResult.OK:
             self.counters.delivered(m.cls)
         if outcome.over and m:
             self._note(self.journal.done, m.number)
@@ -511,13 +530,13 @@
         )
         self._maybe_exit()
 
-    def _probed(self, endpoint: int, result: i.Result, latency: int) -> None:
-        self.tell(i.ProbeEnded(endpoint, result, latency))
+    def _probed(self, endpoint: int, result: i.AttemptResult, latency: int) -> None:
+        self.tell(i.HealthCheckEnded(endpoint, result, latency))
 
     # The list
 
-    def listed(self, change: dict[str, Any], form: i.ListForm | None = None) -> None:
-        form = form or (i.ListForm.FULL if change.get("all") else i.ListForm.DELTA)
+    def listed(self, change: dict[str, Any], form: i.EndpointListForm | None = None) -> None:
+        form = form or (i.EndpointListForm.COMPLETE if change.get("all") else i.EndpointListForm.DELTA)
         entries = []
         for target in change.get("targets", []):
             try:
@@ -529,18 +548,18 @@
             self.entries[entry.endpoint], self.raw[entry.endpoint] = entry, target
             self.dests.add(entry.destination)
             self.calls.place(entry.endpoint, address)
-        if form is not i.ListForm.CACHED:
+        if form is not i.EndpointListForm.CACHED:
             self.heard.set()
-        if form is not i.ListForm.DELTA:
+        if form is not i.EndpointListForm.DELTA:
             named = {e.endpoint for e in entries}
             for number in [n for n in self.entries if n not in named]:
                 self._gone(number)
         for entry in entries:
-            if entry.state is i.EndpointState.GONE:
+            if entry.state is i.EndpointState.REMOVED:
                 self._gone(entry.endpoint)
             elif entry.state is i.EndpointState.DRAINING:
                 self.calls.close_idle(entry.endpoint)
-        self.tell(i.EndpointsListed(form, tuple(entries)))
+        self.tell(i.EndpointListReceived(form, tuple(entries)))
         for entry in entries:  # in the same turn: the list lifts no cordon, nor does a new number
             if self.names.get(entry.endpoint) in self.journal.cordoned:
                 self.tell(i.EndpointCordoned(entry.endpoint))
@@ -559,14 +578,14 @@
         self.uids.pop(self.names.pop(endpoint, ""), None)  # an id that has gone does not come again
         self.calls.forget(endpoint)
 
-    def _entry(self, target: dict[str, Any]) -> tuple[i.ListEntry, tuple[str, int]]:
+    def _entry(self, target: dict[str, Any]) -> tuple[i.EndpointEntry, tuple[str, int]]:
         uid = str(target["uid"])
         if uid not in self.uids:
             self.listed_ever += 1
             self.uids[uid], self.names[self.listed_ever] = self.listed_ever, uid
         number = self.uids[uid]
         kind, zone = self.kinds.get(target.get("model", ""), 0), self.zones.get(target.get("az", ""), 0)
-        entry = i.ListEntry(
+        entry = i.EndpointEntry(
             number,
             int(target["pod_group"]),
             STATES[target["state"]],
@@ -587,7 +606,9 @@
         Returns what is known, the descriptors of the listening socket and of the clients that wait for no
         answer, and what was read from each of these. What comes of the calls out is told to `relay`."""
         self.clients.hold()
-        self.events.append(i.Closing(self.clock()))  # what has come in is answered, but no call begins
+        self.events.append(
+            i.ShutdownScheduled(self.clock())
+        )  # what has come in is answered, but no call begins
         self.turn()
         self.calls.drop_unbegun()
         self.turn()
@@ -595,12 +616,12 @@
         self.relayed.clear()
         self.calls.hooks = self._relaying(relay)
         self.moving = [c for c in self.clients.clients if c.portable]
-        brain = self.courier.hand_over()
+        brain = capture(self.policy.state).to_wire()
         given = {
             "brain": brain,
             "rev": self.watch.rev,
             "targets": list(self.raw.values()),
-            "endpoints": {n: self.names.get(n, "") for n in self.courier.endpoints},
+            "endpoints": {n: self.names.get(n, "") for n in self.policy.state.endpoints},
             "waits": [[*key, until] for key, until in self.waits.items()],
             "calls": [[endpoint, items] for endpoint, _, _, items in brain["calls"]],
         }
@@ -656,7 +677,7 @@
         for told, values in self.relayed:
             told(*values)
         self.clients.go_on()
-        self.tell(i.Closing(math.inf))
+        self.tell(i.ShutdownScheduled(math.inf))
 
     def retire(self) -> None:
         """The other process owns: only the calls that are out are finished here."""
@@ -694,7 +715,12 @@
         elif kind == "ended":
             number, attempt, _, begun, fresh, latency, result, over, wait_us, spoilt = rest
             self._inherited_ended(
-                number, attempt, Outcome(i.Result(result), over, wait_us, spoilt), latency, begun, fresh
+                number,
+                attempt,
+                Outcome(i.AttemptResult(result), over, wait_us, spoilt),
+                latency,
+                begun,
+                fresh,
             )
 
     def reports_ended(self) -> None:
@@ -702,7 +728,7 @@
         if self.inherited:
             log.warning("%d calls of the process before may have run", len(self.inherited))
         for number, attempt in list(self.inherited):
-            self._inherited_ended(number, attempt, Outcome(i.Result.CANCELLED), 0, True, False)
+            self._inherited_ended(number, attempt, Outcome(i.AttemptResult.CANCELLED), 0, True, False)
 
     def _inherited_ended(
         self, number: int, attempt: int, outcome: Outcome, latency: int, begun: bool, fresh: bool
@@ -729,7 +755,7 @@
             raise Refused(why)
 
     def figures(self) -> str:
-        down = sum(1 for endpoint in self.courier.avoided() if endpoint in self.entries)
+        down = sum(1 for endpoint in self.policy.avoided_endpoints() if endpoint in self.entries)
         return self.counters.render(
             {"inflight": self.journal.open, "hosts_listed": len(self.entries), "hosts_down": down}
         )
@@ -810,7 +836,7 @@
         if not self.started:
             self._exit()  # it owns nothing yet
             return
-        self.tell(i.Closing(self.clock() + int(CALLS_S * 1e6)))
+        self.tell(i.ShutdownScheduled(self.clock() + int(CALLS_S * 1e6)))
         self.loop.call_later(LISTEN_S, self._stop_clients)
 
     def _stop_clients(self) -> None:
--- a/message_relay/simulator_adapter/frames.py
+++ b/message_relay/simulator_adapter/frames.py
@@ -1,33 +1,40 @@
-"""The simulator's binary frames and settings JSON, to and from the interface types. No decisions here."""
+"""The simulator's binary frames, to and from the events and actions of the model. No decisions here."""
 
 from __future__ import annotations
 
-import json
 import struct
-from collections.abc import Iterator
-from typing import Any
+from collections.abc import Callable, Iterator, Mapping
+from dataclasses import dataclass
+from enum import IntEnum
+from typing import Any, TypeVar
 
-from message_relay import model as i
+from message_relay import model
+from message_relay.model import AttemptResult, EndpointEntry, EndpointListForm, EndpointState, Settings
+from message_relay.simulator_adapter.settings_json import read_settings
 
 BATCH_HEADER = struct.Struct(">IIQI")
 REPLY_HEADER = struct.Struct(">III")
-EVENT_SIZE, ACTION_SIZE, ENTRY_SIZE = 40, 16, 24
+EVENT_SIZE, ACTION_SIZE, ENTRY_SIZE = 40, 16, 24  # bytes
 ALL_PEERS = 0xFFFFFFFF
 MAX_U32 = 0xFFFFFFFF
+ORDER_FLAG_RESUBMITTED = 2
 
 RESULTS = {
-    200: i.Result.OK,
-    502: i.Result.ERROR,
-    429: i.Result.FULL,
-    408: i.Result.TIMEOUT,
-    521: i.Result.CONNECT_FAILED,
-    520: i.Result.RESET,
-    444: i.Result.CANCELLED,
-    409: i.Result.MOOT,
+    200: AttemptResult.OK,
+    408: AttemptResult.TIMEOUT,
+    409: AttemptResult.NOT_ATTEMPTED,
+    429: AttemptResult.REJECTED,
+    444: AttemptResult.CANCELLED,
+    502: AttemptResult.ERROR,
+    520: AttemptResult.RESET,
+    521: AttemptResult.CONNECT_FAILED,
 }
-FORMS = (i.ListForm.DELTA, i.ListForm.FULL, i.ListForm.CACHED, i.ListForm.FAILED)
-STATES = (i.EndpointState.GONE, i.EndpointState.READY, i.EndpointState.DRAINING)
-EFFECTS = {"read_like": i.Effect.SAFE, "idempotency_key": i.Effect.KEYED, "non_idempotent": i.Effect.UNSAFE}
+LIST_FORMS = dict(
+    enumerate(
+        (EndpointListForm.DELTA, EndpointListForm.COMPLETE, EndpointListForm.CACHED, EndpointListForm.FAILED)
+    )
+)
+ENDPOINT_STATES = dict(enumerate((EndpointState.REMOVED, EndpointState.READY, EndpointState.DRAINING)))
 
 _ARRIVAL = struct.Struct(">xIBIQQIfH")
 _HEALTH = struct.Struct(">xIHIHB4f")
@@ -40,205 +47,222 @@
 _ENTRY = struct.Struct(">IHHBfQBH")
 _U16, _U32, _U64 = struct.Struct(">xH"), struct.Struct(">xI"), struct.Struct(">xQ")
 
+EndpointLists = dict[int, tuple[EndpointEntry, ...]]  # numbered lists, kept across batches
+Code = TypeVar("Code")
+
 
-class Malformed(ValueError):
+class MalformedFrameError(ValueError):
     """A frame that does not follow the wire's description."""
 
 
-class Begin:
+class EventCode(IntEnum):
+    """The first byte of an event record."""
+
+    INSTANCE = 1
+    MESSAGE = 2
+    HEALTH_CHECK = 3
+    TIMER = 4
+    ENDPOINT_LIST = 5
+    REGISTER_LIST = 6
+    BEGIN = 7
+    ATTEMPT_ENDED = 8
+    SHUTDOWN = 9
+    WITHDRAWN = 10
+    GOSSIP = 11
+    RESPONSE_STARTED = 12
+
+
+class ActionCode(IntEnum):
+    """The first byte of an action record."""
+
+    SEND = 1
+    REJECT = 2
+    FAIL = 3
+    CANCEL = 4
+    TIMER = 5
+    HEALTH_CHECK = 6
+    CLOSE_IDLE = 7
+    GOSSIP = 8
+    LOG = 9
+    FAULT = 10
+    SUBSCRIBE = 11
+    FETCH_LIST = 12
+    INSTANCE = 13
+
+
+@dataclass(frozen=True, slots=True)
+class InstanceStarted:
     """An instance begins with these settings and this seed."""
 
-    __slots__ = ("seed", "settings")
-
-    def __init__(self, seed: int, settings: i.Settings) -> None:
-        self.seed, self.settings = seed, settings
+    seed: int
+    settings: Settings
 
 
-class Shutdown:
+@dataclass(frozen=True, slots=True)
+class InstanceStopped:
     """An instance was killed."""
 
-    __slots__ = ()
+
+@dataclass(frozen=True, slots=True)
+class BatchHeader:
+    """What stands before the body of a batch."""
+
+    sequence: int
+    body_size: int
+    now_us: int
+    record_count: int
+
+
+WireEvent = model.Event | InstanceStarted | InstanceStopped
 
 
 def endpoint_id(address: int, port: int) -> int:
+    """The number that stands for an endpoint's address and port."""
     return address << 16 | port
 
 
-def _choice(table: Any, code: int, what: str) -> Any:
+def _decode(table: Mapping[int, Code], code: int, what: str) -> Code:
     try:
         return table[code]
-    except (KeyError, IndexError):
-        raise Malformed(f"unknown {what} {code}") from None
+    except KeyError:
+        raise MalformedFrameError(f"unknown {what} {code}") from None
 
 
 def _slice(tail: memoryview, offset: int, size: int, what: str) -> memoryview:
     if offset + size > len(tail):
-        raise Malformed(f"{what} lies outside the tail: offset {offset}, {size} bytes, tail {len(tail)}")
+        raise MalformedFrameError(
+            f"{what} lies outside the tail: offset {offset}, {size} bytes, tail {len(tail)}"
+        )
     return tail[offset : offset + size]
 
 
-def read_settings(text: bytes | memoryview | str) -> i.Settings:
-    """The settings JSON as Settings; unknown keys are ignored, a needed one that lacks is named."""
-    try:
-        raw = json.loads(bytes(text) if isinstance(text, memoryview) else text)
-    except ValueError as error:
-        raise Malformed(f"settings are not JSON: {error}") from None
-    if not isinstance(raw, dict):
-        raise Malformed("settings are not a JSON object")
-    try:
-        return _settings(raw)
-    except KeyError as error:
-        raise Malformed(f"settings lack the key {error.args[0]!r}") from None
-    except (TypeError, AttributeError) as error:
-        raise Malformed(f"settings are of the wrong form: {error}") from None
-
-
-def _settings(raw: dict[str, Any]) -> i.Settings:
-    family, limits, contract = raw.get("familyInfo", {}), raw["policyLimits"], raw["contract"]
-    classes = tuple(
-        i.MessageClass(
-            name=c.get("name", str(k)),
-            aim_us=int(c["goalTimeUs"]),
-            deadline_us=int(c["deadlineUs"]),
-            effect=_choice(EFFECTS, c["idempotency"], "classes.idempotency"),
-            worth=float(c.get("worth", 1.0)),
-            late_share=float(c.get("lateShare", 0.0)),
-            key_scope=c.get("keyScope", "all"),
-            key_window_us=int(c.get("keyTtlUs", 0)),
-            ordered=bool(c.get("sequential", False)),
-        )
-        for k, c in enumerate(raw["classes"])
-    )
-    names = raw.get("shapes") or ["any"]
-    apart, batch = family.get("kindApart", []), family.get("kindBatch", [])
-    kinds = tuple(
-        i.Kind(n, bool(apart[k]) if k < len(apart) else False, int(batch[k]) if k < len(batch) else 1)
-        for k, n in enumerate(names)
-    )
-    tenants = tuple(
-        i.Tenant(t.get("name", ""), float(t.get("fraction", 0.0)), float(t.get("quotaPerS", 0.0)))
-        for t in raw.get("tenants", [])
-    )
-    return i.Settings(
-        classes=classes,
-        kinds=kinds,
-        tenants=tenants,
-        slots=int(family["maxCalls"]),
-        max_held=int(limits["maxOpen"]),
-        couriers=int(raw.get("groupSize", 1)),
-        me=int(raw.get("me", 0)),
-        max_attempts=int(limits["attemptsCap"]),
-        second_copies=bool(limits.get("secondCopies", False)),
-        may_probe=bool(limits.get("probing", False)),
-        may_cancel=bool(limits.get("mayCancel", False)),
-        peer_notes=bool(limits.get("peers", False)),
-        tick_us=int(raw.get("stepUs", 1000)),
-        max_retry_after_us=int(limits.get("maxRetryAfterUs", 0)) if limits.get("retryAfter", False) else 0,
-        connection_idle_us=int(limits["connIdleUs"]),
-        connect_timeout_us=int(limits["connectTimeoutUs"]),
-        drain_grace_us=int(contract["drainGraceUs"]),
-        cold_share=float(contract["coldShare"]),
-        cold_us=int(contract["coldUs"]),
-        fall_multiple=float(contract["fallMultiple"]),
-        fall_us=int(contract["fallUs"]),
-        key_rest_us=int(contract.get("keyRestUs", 0)),
-        answer_slack_us=int(contract.get("answerSlackUs", 0)),
-        list_on_request=raw.get("membershipMode") == "on_request",
-        rates_listed=raw.get("weightSource") in ("nominal", "rough"),
-        report_fields=tuple(str(f) for f in raw.get("report", {}).get("fields", [])),
-        over_share_worth=float(raw.get("overShareWorth", 1.0)),
-        late_halves=family.get("late") == "halves",
-        clients_mark_retries=bool(raw.get("clients", {}).get("marksRetry", False)),
-        refused_price=float(family.get("refusedPrice", 0.0)),
-        zone_fees=tuple(float(f) for f in family.get("carriage", [])),
-    )
+def read_header(header: bytes) -> BatchHeader:
+    """The header of a batch."""
+    if len(header) != BATCH_HEADER.size:
+        raise MalformedFrameError(f"short batch header: {len(header)} of {BATCH_HEADER.size} bytes")
+    return BatchHeader(*BATCH_HEADER.unpack(header))
 
 
-def read_entries(data: memoryview) -> tuple[i.ListEntry, ...]:
+def read_entries(data: memoryview) -> tuple[EndpointEntry, ...]:
+    """The entries of an endpoint list."""
     return tuple(
-        i.ListEntry(
-            endpoint_id(address, port), dest, _choice(STATES, state, "endpoint condition"), rate, kind, zone
+        EndpointEntry(
+            endpoint_id(address, port),
+            destination,
+            _decode(ENDPOINT_STATES, state, "endpoint condition"),
+            rate_limit_per_s,
+            kind,
+            zone,
         )
-        for address, port, dest, state, rate, _, kind, zone in _ENTRY.iter_unpack(data)
+        for address, port, destination, state, rate_limit_per_s, _, kind, zone in _ENTRY.iter_unpack(data)
     )
 
 
-def split_header(header: bytes) -> tuple[int, int, int, int]:
-    """(sequence number, body length, clock, record count) of a batch."""
-    if len(header) != BATCH_HEADER.size:
-        raise Malformed(f"short batch header: {len(header)} of {BATCH_HEADER.size} bytes")
-    return BATCH_HEADER.unpack(header)
-
-
-def read_events(
-    body: bytes, count: int, pages: dict[int, tuple[i.ListEntry, ...]]
-) -> Iterator[tuple[int, Any]]:
-    """(instance, event) for each record in order; numbered lists are kept in `pages` across batches."""
+def read_events(body: bytes, count: int, lists: EndpointLists) -> Iterator[tuple[int, WireEvent]]:
+    """(instance, event) for each record of a batch, in order."""
     if count * EVENT_SIZE > len(body):
-        raise Malformed(f"{count} records do not fit a body of {len(body)} bytes")
+        raise MalformedFrameError(f"{count} records do not fit a body of {len(body)} bytes")
     view = memoryview(body)
     tail, instance = view[count * EVENT_SIZE :], None
-    for at in range(0, count * EVENT_SIZE, EVENT_SIZE):
-        code = view[at]
-        if code == 1:
-            (instance,) = _U16.unpack_from(view, at)
+    for offset in range(0, count * EVENT_SIZE, EVENT_SIZE):
+        code = view[offset]
+        if code == EventCode.INSTANCE:
+            (instance,) = _U16.unpack_from(view, offset)
             continue
-        if code == 6:
-            page, offset, n = _REGISTER.unpack_from(view, at)
-            pages[page] = read_entries(_slice(tail, offset, n * ENTRY_SIZE, "a list"))
+        if code == EventCode.REGISTER_LIST:
+            number, start, entries = _REGISTER.unpack_from(view, offset)
+            lists[number] = read_entries(_slice(tail, start, entries * ENTRY_SIZE, "a list"))
             continue
         if instance is None:
-            raise Malformed(f"record {code} before any instance was named")
-        yield instance, _event(code, view, at, tail, pages)
-        if code == 8 and (report := _report(view, at)):
+            raise MalformedFrameError(f"record {code} before any instance was named")
+        yield instance, _decode(_EVENT_READERS, code, "event code")(view, offset, tail, lists)
+        if code == EventCode.ATTEMPT_ENDED and (report := _load_report(view, offset)):
             yield instance, report
 
 
-def _event(code: int, view: memoryview, at: int, tail: memoryview, pages: dict[int, Any]) -> Any:
-    if code == 2:
-        ident, cls, team, key, until, _, dest, flags = _ARRIVAL.unpack_from(view, at)
-        return i.MessageArrived(ident, cls, int(dest), until, team, key, bool(flags & 2))
-    if code == 3:
-        latency, result, address, port, *_ = _HEALTH.unpack_from(view, at)
-        return i.ProbeEnded(endpoint_id(address, port), _choice(RESULTS, result, "result"), latency)
-    if code == 4:
-        return i.TimerDue(_U64.unpack_from(view, at)[0])
-    if code == 5:
-        page, _, form = _DISCOVERY.unpack_from(view, at)
-        kind = _choice(FORMS, form, "list form")
-        if kind is i.ListForm.FAILED:
-            return i.EndpointsListed(kind)
-        if page not in pages:
-            raise Malformed(f"list {page} was never declared")
-        return i.EndpointsListed(kind, pages[page])
-    if code == 7:
-        seed, offset, size = _BEGIN.unpack_from(view, at)
-        return Begin(seed, read_settings(_slice(tail, offset, size, "the settings")))
-    if code == 8:
-        ident, attempt, address, port, result, latency, last, hold_ms, *_ = _ANSWER.unpack_from(view, at)
-        kind = _choice(RESULTS, result, "result")
-        wait = hold_ms * 1000 if kind is i.Result.FULL else 0
-        return i.AttemptEnded(ident, attempt, endpoint_id(address, port), kind, latency, bool(last), wait)
-    if code == 9:
-        return Shutdown()
-    if code == 10:
-        return i.MessageGone(_U32.unpack_from(view, at)[0])
-    if code == 11:
-        author, offset, size = _PEER.unpack_from(view, at)
-        return i.PeerNote(author, bytes(_slice(tail, offset, size, "a note")))
-    if code == 12:
-        ident, address, port, attempt, _ = _OPENED.unpack_from(view, at)
-        return i.AttemptAnswering(ident, attempt, endpoint_id(address, port))
-    raise Malformed(f"unknown event code {code}")
-
-
-def _report(view: memoryview, at: int) -> i.LoadReported | None:
-    """The load report of an answer, if it bears one."""
-    _, _, address, port, _, _, _, _, n, *values = _ANSWER.unpack_from(view, at)
-    return i.LoadReported(endpoint_id(address, port), tuple(values[:n])) if n else None
-
-
-class Reply:
+def _read_message(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
+    number, message_class, tenant, order_key, deadline_us, _, destination, flags = _ARRIVAL.unpack_from(
+        view, offset
+    )
+    resubmitted = bool(flags & ORDER_FLAG_RESUBMITTED)
+    return model.MessageSubmitted(
+        number, message_class, int(destination), deadline_us, tenant, order_key, resubmitted
+    )
+
+
+def _read_health_check(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
+    latency_us, result, address, port, *_ = _HEALTH.unpack_from(view, offset)
+    return model.HealthCheckEnded(endpoint_id(address, port), _decode(RESULTS, result, "result"), latency_us)
+
+
+def _read_timer(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
+    return model.TimerFired(_U64.unpack_from(view, offset)[0])
+
+
+def _read_list(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
+    number, _, code = _DISCOVERY.unpack_from(view, offset)
+    form = _decode(LIST_FORMS, code, "list form")
+    if form is EndpointListForm.FAILED:
+        return model.EndpointListReceived(form)
+    if number not in lists:
+        raise MalformedFrameError(f"list {number} was never declared")
+    return model.EndpointListReceived(form, lists[number])
+
+
+def _read_begin(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
+    seed, start, size = _BEGIN.unpack_from(view, offset)
+    return InstanceStarted(seed, read_settings(_slice(tail, start, size, "the settings")))
+
+
+def _read_attempt_ended(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
+    number, attempt, address, port, code, latency_us, ended, wait_ms, *_ = _ANSWER.unpack_from(view, offset)
+    result = _decode(RESULTS, code, "result")
+    retry_after_us = wait_ms * 1000 if result is AttemptResult.REJECTED else 0
+    endpoint = endpoint_id(address, port)
+    return model.AttemptEnded(number, attempt, endpoint, result, latency_us, bool(ended), retry_after_us)
+
+
+def _load_report(view: memoryview, offset: int) -> model.LoadReportReceived | None:
+    """The load report that an outcome carries, if any."""
+    _, _, address, port, _, _, _, _, count, *values = _ANSWER.unpack_from(view, offset)
+    return model.LoadReportReceived(endpoint_id(address, port), tuple(values[:count])) if count else None
+
+
+def _read_shutdown(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
+    return InstanceStopped()
+
+
+def _read_withdrawn(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
+    return model.MessageWithdrawn(_U32.unpack_from(view, offset)[0])
+
+
+def _read_gossip(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
+    peer, start, size = _PEER.unpack_from(view, offset)
+    return model.GossipReceived(peer, bytes(_slice(tail, start, size, "a note")))
+
+
+def _read_response_started(
+    view: memoryview, offset: int, tail: memoryview, lists: EndpointLists
+) -> WireEvent:
+    number, address, port, attempt, _ = _OPENED.unpack_from(view, offset)
+    return model.ResponseStarted(number, attempt, endpoint_id(address, port))
+
+
+_EVENT_READERS: dict[int, Callable[[memoryview, int, memoryview, EndpointLists], WireEvent]] = {
+    EventCode.MESSAGE: _read_message,
+    EventCode.HEALTH_CHECK: _read_health_check,
+    EventCode.TIMER: _read_timer,
+    EventCode.ENDPOINT_LIST: _read_list,
+    EventCode.BEGIN: _read_begin,
+    EventCode.ATTEMPT_ENDED: _read_attempt_ended,
+    EventCode.SHUTDOWN: _read_shutdown,
+    EventCode.WITHDRAWN: _read_withdrawn,
+    EventCode.GOSSIP: _read_gossip,
+    EventCode.RESPONSE_STARTED: _read_response_started,
+}
+
+
+class ReplyFrame:
     """Collects the actions of one batch and packs them as a frame."""
 
     def __init__(self) -> None:
@@ -253,38 +277,43 @@
         self.tail += data
         return offset, len(data)
 
-    def instance(self, number: int) -> None:
-        self._add("BH", 13, number)
-
-    def fault(self, text: str) -> None:
-        self._add("BII", 10, *self._place(text.encode()))
-
-    def action(self, a: i.Action) -> None:
-        if isinstance(a, i.Send):
-            self._add(
-                "BIIHI", 1, a.message, a.endpoint >> 16, a.endpoint & 0xFFFF, min(a.timeout_us, MAX_U32)
-            )
-        elif isinstance(a, i.SetTimer):
-            self._add("BIQ", 5, min(a.delay_us, MAX_U32), a.token)
-        elif isinstance(a, i.Refuse):
-            self._add("BII", 2, a.message, min(a.retry_after_us, MAX_U32))
-        elif isinstance(a, i.Fail):
-            self._add("BI", 3, a.message)
-        elif isinstance(a, i.Cancel):
-            self._add("BIB", 4, a.message, a.attempt)
-        elif isinstance(a, i.Probe):
-            self._add("BIH", 6, a.endpoint >> 16, a.endpoint & 0xFFFF)
-        elif isinstance(a, i.CloseIdle):
-            self._add("BIH", 7, a.endpoint >> 16, a.endpoint & 0xFFFF)
-        elif isinstance(a, i.SendNote):
-            self._add("BIII", 8, ALL_PEERS if a.peer is None else a.peer, *self._place(a.data))
-        elif isinstance(a, i.Log):
-            self._add("BII", 9, *self._place(a.text.encode()))
-        elif isinstance(a, i.Subscribe):
-            self._add("BB", 11, int(a.on))
-        else:
-            self._add("B", 12)
+    def add_instance(self, number: int) -> None:
+        """The actions that follow are this instance's."""
+        self._add("BH", ActionCode.INSTANCE, number)
+
+    def add_fault(self, text: str) -> None:
+        """The instance failed to handle its events."""
+        self._add("BII", ActionCode.FAULT, *self._place(text.encode()))
+
+    def add_action(self, action: model.Action) -> None:
+        """One action of the instance."""
+        match action:
+            case model.SendAttempt(message, endpoint, timeout_us):
+                timeout_us = min(timeout_us, MAX_U32)
+                self._add("BIIHI", ActionCode.SEND, message, endpoint >> 16, endpoint & 0xFFFF, timeout_us)
+            case model.SetTimer(delay_us, token):
+                self._add("BIQ", ActionCode.TIMER, min(delay_us, MAX_U32), token)
+            case model.RejectMessage(message, retry_after_us):
+                self._add("BII", ActionCode.REJECT, message, min(retry_after_us, MAX_U32))
+            case model.FailMessage(message):
+                self._add("BI", ActionCode.FAIL, message)
+            case model.CancelAttempt(message, attempt):
+                self._add("BIB", ActionCode.CANCEL, message, attempt)
+            case model.CheckEndpointHealth(endpoint):
+                self._add("BIH", ActionCode.HEALTH_CHECK, endpoint >> 16, endpoint & 0xFFFF)
+            case model.CloseIdleConnections(endpoint):
+                self._add("BIH", ActionCode.CLOSE_IDLE, endpoint >> 16, endpoint & 0xFFFF)
+            case model.SendGossip(peer, data):
+                to = ALL_PEERS if peer is None else peer
+                self._add("BIII", ActionCode.GOSSIP, to, *self._place(data))
+            case model.LogMessage(text):
+                self._add("BII", ActionCode.LOG, *self._place(text.encode()))
+            case model.SubscribeEndpointList(active):
+                self._add("BB", ActionCode.SUBSCRIBE, int(active))
+            case model.FetchEndpointList():
+                self._add("B", ActionCode.FETCH_LIST)
 
     def pack(self, sequence: int) -> bytes:
+        """The frame that answers the batch of that number."""
         body = b"".join(self.records) + bytes(self.tail)
         return REPLY_HEADER.pack(sequence, len(self.records), len(body)) + body
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -49,7 +49,7 @@
         ],
         "clients": {"marksRetry": True},
         "groupSize": 2,
-        "me": 0,
+        "instance_index": 0,
         "stepUs": 5000,
         "contract": {
             "coldShare": 0.15,
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -7,7 +7,7 @@
 import pytest
 from loopback import Endpoint, answer, bounded
 
-from message_relay.model import Result
+from message_relay.model import AttemptResult
 from message_relay.server.endpoint_calls import client as c
 from message_relay.server.http.connection import Connection, Exchange
 
@@ -54,18 +54,18 @@
 @pytest.mark.parametrize(
     ("step", "outcome"),
     [
-        (answer(200), c.Outcome(Result.OK, over=True)),
-        (answer(500), c.Outcome(Result.ERROR)),
-        (answer(429, Retry_After="0.25"), c.Outcome(Result.FULL, wait_us=250_000)),
-        (answer(503), c.Outcome(Result.FULL)),
-        (answer(503, Slots_Taken="1"), c.Outcome(Result.MOOT)),
-        (answer(504), c.Outcome(Result.MOOT)),
-        (answer(410), c.Outcome(Result.MOOT, over=True)),
-        (answer(413), c.Outcome(Result.MOOT)),
-        ("reset", c.Outcome(Result.RESET)),
-        ("hang", c.Outcome(Result.TIMEOUT)),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", c.Outcome(Result.OK, over=True)),
-        (b"nonsense\r\n\r\n", c.Outcome(Result.ERROR, spoilt=True)),
+        (answer(200), c.Outcome(AttemptResult.OK, over=True)),
+        (answer(500), c.Outcome(AttemptResult.ERROR)),
+        (answer(429, Retry_After="0.25"), c.Outcome(AttemptResult.REJECTED, wait_us=250_000)),
+        (answer(503), c.Outcome(AttemptResult.REJECTED)),
+        (answer(503, Slots_Taken="1"), c.Outcome(AttemptResult.NOT_ATTEMPTED)),
+        (answer(504), c.Outcome(AttemptResult.NOT_ATTEMPTED)),
+        (answer(410), c.Outcome(AttemptResult.NOT_ATTEMPTED, over=True)),
+        (answer(413), c.Outcome(AttemptResult.NOT_ATTEMPTED)),
+        ("reset", c.Outcome(AttemptResult.RESET)),
+        ("hang", c.Outcome(AttemptResult.TIMEOUT)),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", c.Outcome(AttemptResult.OK, over=True)),
+        (b"nonsense\r\n\r\n", c.Outcome(AttemptResult.ERROR, spoilt=True)),
     ],
 )
 def test_each_answer_has_its_outcome(step, outcome):
@@ -90,7 +90,7 @@
 def test_a_refused_connection_never_ran():
     async def run():
         o = Outcomes()
-        assert await o.send(free_port(), "a") == [("a", c.Outcome(Result.CONNECT_FAILED))]
+        assert await o.send(free_port(), "a") == [("a", c.Outcome(AttemptResult.CONNECT_FAILED))]
         assert o.begun == []  # nothing was written, so no attempt is recorded
 
     asyncio.run(run())
@@ -108,7 +108,7 @@
                 f.connect_ex(s.getsockname())
             await asyncio.sleep(0.05)
             o = Outcomes(connect_us=100_000)
-            assert await o.send(s.getsockname()[1], "a") == [("a", c.Outcome(Result.CONNECT_FAILED))]
+            assert await o.send(s.getsockname()[1], "a") == [("a", c.Outcome(AttemptResult.CONNECT_FAILED))]
             for f in fill:
                 f.close()
 
@@ -158,7 +158,7 @@
         assert endpoint.accepted == 1
         endpoint.drop()  # closed as idle: a request written to it would end as a reset
         await bounded(endpoint.ended.get())
-        assert (await o.send(endpoint.port, "d"))[0][1].result is Result.OK
+        assert (await o.send(endpoint.port, "d"))[0][1].result is AttemptResult.OK
         assert endpoint.accepted == 2
         o.calls.close()
         await endpoint.stop()
@@ -193,15 +193,17 @@
         assert path == "/events/bundle" and b'"key":"ka"' in body and b'"body":"eA=="' in body
         assert {o.wait_us for o in ends.values()} == {500_000}
         assert {i: (o.result, o.over) for i, o in ends.items()} == {
-            "a": (Result.OK, True),
-            "b": (Result.ERROR, False),
-            "c": (Result.FULL, False),
-            "d": (Result.MOOT, True),
-            "e": (Result.MOOT, False),
+            "a": (AttemptResult.OK, True),
+            "b": (AttemptResult.ERROR, False),
+            "c": (AttemptResult.REJECTED, False),
+            "d": (AttemptResult.NOT_ATTEMPTED, True),
+            "e": (AttemptResult.NOT_ATTEMPTED, False),
         }
-        assert {o.result for _, o in await o.send(endpoint.port, *"fg")} == {Result.FULL}
-        assert {o.result for _, o in await o.send(endpoint.port, *"hi")} == {Result.ERROR}  # may have run
-        assert {o.result for _, o in await o.send(endpoint.port, *"jk")} == {Result.RESET}
+        assert {o.result for _, o in await o.send(endpoint.port, *"fg")} == {AttemptResult.REJECTED}
+        assert {o.result for _, o in await o.send(endpoint.port, *"hi")} == {
+            AttemptResult.ERROR
+        }  # may have run
+        assert {o.result for _, o in await o.send(endpoint.port, *"jk")} == {AttemptResult.RESET}
         assert o.waits == [500_000, 1_000_000]
         await endpoint.stop()
 
@@ -214,7 +216,7 @@
         endpoint = await Endpoint().start()
         o = Outcomes()
         o.allowed = False
-        assert await o.send(endpoint.port, "a") == [("a", c.Outcome(Result.MOOT))]
+        assert await o.send(endpoint.port, "a") == [("a", c.Outcome(AttemptResult.NOT_ATTEMPTED))]
         assert endpoint.calls.empty() and o.begun == []
         o.calls.close()
         await endpoint.stop()
@@ -227,7 +229,7 @@
         endpoint = await Endpoint(answer(200), answer(503), "reset").start()
         o = Outcomes()
         o.calls.place(1, ("127.0.0.1", endpoint.port))
-        for wanted in (Result.OK, Result.FULL, Result.RESET):
+        for wanted in (AttemptResult.OK, AttemptResult.REJECTED, AttemptResult.RESET):
             o.calls.probe(1)
             assert await bounded(o.probes.get()) is wanted
         assert (await endpoint.call())[0] == "/alive"
@@ -259,7 +261,7 @@
         await o.send(port, "a")
         end.set()
         ended.wait(10)  # holds the loop: nothing tells it of the end
-        assert (await o.send(port, "b"))[0][1].result is Result.OK
+        assert (await o.send(port, "b"))[0][1].result is AttemptResult.OK
         assert o.calls.opened == 2
         o.calls.close()
         thread.join()
@@ -284,7 +286,7 @@
     async def run():
         endpoint = await Endpoint(answer(200, X_Server_Load=text)).start()
         o = Outcomes()
-        assert await o.send(endpoint.port, "a") == [("a", c.Outcome(Result.OK, over=True))]
+        assert await o.send(endpoint.port, "a") == [("a", c.Outcome(AttemptResult.OK, over=True))]
         assert o.reports == values
         o.calls.close()
         await endpoint.stop()
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -7,17 +7,17 @@
 import pytest
 from test_brain import CLASSES, S
 
-from message_relay.policy.delivery_policy import Courier
+from message_relay.policy.delivery_policy import DeliveryPolicy
 from message_relay.model import (
     AttemptEnded,
-    EndpointsListed,
+    EndpointListReceived,
     EndpointState,
-    ListEntry,
-    ListForm,
-    LoadReported,
-    MessageArrived,
-    Result,
-    Send,
+    EndpointEntry,
+    EndpointListForm,
+    LoadReportReceived,
+    MessageSubmitted,
+    AttemptResult,
+    SendAttempt,
     SetTimer,
     Settings,
 )
@@ -25,7 +25,11 @@
 DOWN, BACK, END = 6.0, 11.0, 26.0  # seconds
 SHARE, COLD_S, MULTIPLE, FALL_S = 0.2, 9.5, 2.0, 3.0
 LOAD = 0.7  # of the limit
-TOLD = {"silent": {}, "listed": {"rates_listed": True}, "reported": {"report_fields": ("x0", "x1")}}
+TOLD = {
+    "silent": {},
+    "listed": {"rate_limits_advertised": True},
+    "reported": {"load_report_fields": ("x0", "x1")},
+}
 
 
 class Cold:
@@ -35,28 +39,29 @@
         self.limit, self.how, self.told = limit, how, told
         self.chance, self.queue, self.count = random.Random(seed), [], 0
         rate = limit if told == "listed" else 0.0
-        entries = tuple(ListEntry(100 + n, 1, EndpointState.READY, rate) for n in range(2))
+        entries = tuple(EndpointEntry(100 + n, 1, EndpointState.READY, rate) for n in range(2))
         given = dict(
             classes=CLASSES,
-            slots=5,
-            max_held=48,
+            call_slots=5,
+            max_open_messages=48,
             max_attempts=6,
-            couriers=couriers,
-            cold_share=SHARE,
-            cold_us=int(COLD_S * S),
-            fall_multiple=MULTIPLE,
-            fall_us=int(FALL_S * S),
-            tick_us=1000,
+            instance_count=couriers,
+            slow_start_share=SHARE,
+            slow_start_us=int(COLD_S * S),
+            overload_factor=MULTIPLE,
+            overload_window_us=int(FALL_S * S),
+            turn_interval_us=1000,
             max_retry_after_us=3 * S,
-            refused_price=0.1,
+            rejected_call_cost=0.1,
             **TOLD[told],
         )
         self.couriers = [
-            Courier(Settings(me=k, **given), self.chance.randrange(1 << 60)) for k in range(couriers)
+            DeliveryPolicy(Settings(instance_index=k, **given), self.chance.randrange(1 << 60))
+            for k in range(couriers)
         ]
         self.sent, self.knows, self.served, self.offered = [], set(), [], []
         for k in range(couriers):
-            self.later(0.0, k, EndpointsListed(ListForm.CACHED, entries))
+            self.later(0.0, k, EndpointListReceived(EndpointListForm.CACHED, entries))
         self.arrivals()
         self.run()
 
@@ -71,38 +76,40 @@
             courier = self.chance.choices(range(len(weights)), weights)[0]
             until = 1000 * S + int(at * S) + 10 * S
             self.offered.append(at)
-            self.later(at, courier, MessageArrived(self.count, 0, 1, until))
+            self.later(at, courier, MessageSubmitted(self.count, 0, 1, until))
 
     def run(self):
         while self.queue and self.queue[0][0] < END:
             at, _, k, event = heapq.heappop(self.queue)
             events = [event] if event else []
-            if isinstance(event, AttemptEnded) and event.result is not Result.OK:
+            if isinstance(event, AttemptEnded) and event.result is not AttemptResult.OK:
                 self.knows.add(k)
             elif isinstance(event, AttemptEnded) and self.told == "reported":
-                events.append(LoadReported(event.endpoint, (0.5, self.limit)))
+                events.append(LoadReportReceived(event.endpoint, (0.5, self.limit)))
             for a in self.couriers[k].handle(1000 * S + int(at * S), events):
-                if isinstance(a, Send):
+                if isinstance(a, SendAttempt):
                     self.call(at, k, a)
                 elif isinstance(a, SetTimer):
                     self.later(at + max(0.001, a.delay_us / S), k, None)
 
     def call(self, at, k, a):
         self.sent.append((at, k in self.knows))
-        took, result, wait = 0.15, Result.OK, 0
+        took, result, wait = 0.15, AttemptResult.OK, 0
         if DOWN <= at < BACK:
             took, result, wait = {
-                "refused": (0.02, Result.CONNECT_FAILED, 0),
-                "hangs": (a.timeout_us / S, Result.TIMEOUT, 0),
-                "errors": (0.05, Result.ERROR, 0),
-                "shut": (0.02, Result.FULL, int((BACK - at) * S)),
+                "refused": (0.02, AttemptResult.CONNECT_FAILED, 0),
+                "hangs": (a.timeout_us / S, AttemptResult.TIMEOUT, 0),
+                "errors": (0.05, AttemptResult.ERROR, 0),
+                "shut": (0.02, AttemptResult.REJECTED, int((BACK - at) * S)),
             }[self.how]
         elif sum(x > at - 1 for x in self.served[-int(1.2 * self.limit) - 1 :]) >= 1.2 * self.limit:
-            took, result, wait = 0.02, Result.FULL, S // 2
+            took, result, wait = 0.02, AttemptResult.REJECTED, S // 2
         else:
             self.served.append(at)
-        tries = self.couriers[k].messages[a.message].tries - 1
-        ended = AttemptEnded(a.message, tries, a.endpoint, result, int(took * S), result is Result.OK, wait)
+        tries = self.couriers[k].state.messages[a.message].attempts - 1
+        ended = AttemptEnded(
+            a.message, tries, a.endpoint, result, int(took * S), result is AttemptResult.OK, wait
+        )
         self.later(at + took, k, ended)
 
     def budget_used(self):
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -102,10 +102,12 @@
     for n in range(6):
         await client.put(f"s{n}")
         await all_done(fleet)
-    assert fleet.host.courier.health.torn[1] > 0.08
+    assert fleet.host.policy.state.statistics.reset_rates.reused > 0.08
     for n in range(8):
         await client.put(f"u{n}", kind="unsafe")
         await all_done(fleet)
     assert fleet.discovery.finals.empty()
-    circuits = [ep.c for ep in fleet.host.courier.endpoints.values()]
-    assert all(not c.open and c.ramp_from < 0 for c in circuits)  # it answers: no outage, no slow start
+    circuits = [ep.circuit for ep in fleet.host.policy.state.endpoints.values()]
+    assert all(
+        not c.open and c.slow_start_since_us < 0 for c in circuits
+    )  # it answers: no outage, no slow start
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -4,42 +4,43 @@
 
 from loopback import answer, courier
 
-from message_relay.policy.delivery_policy import Courier
+from message_relay.policy.delivery_policy import DeliveryPolicy
 from message_relay.model import (
     AttemptEnded,
     EndpointCordoned,
-    EndpointsListed,
+    EndpointListReceived,
     EndpointState,
-    ListEntry,
-    ListForm,
-    MessageArrived,
+    EndpointEntry,
+    EndpointListForm,
+    MessageSubmitted,
     MessageClass,
-    Result,
-    Send,
+    AttemptResult,
+    SendAttempt,
     Settings,
 )
 
-LISTED = EndpointsListed(
-    ListForm.FULL, (ListEntry(1, 7, EndpointState.READY), ListEntry(2, 7, EndpointState.READY))
+LISTED = EndpointListReceived(
+    EndpointListForm.COMPLETE,
+    (EndpointEntry(1, 7, EndpointState.READY), EndpointEntry(2, 7, EndpointState.READY)),
 )
 
 
 def module():
-    return Courier(
+    return DeliveryPolicy(
         Settings(
             classes=(MessageClass("c", 800_000, 60_000_000),),
-            slots=40,
-            max_held=1000,
-            cold_share=0.3,
-            cold_us=10_000_000,
-            fall_multiple=1.5,
+            call_slots=40,
+            max_open_messages=1000,
+            slow_start_share=0.3,
+            slow_start_us=10_000_000,
+            overload_factor=1.5,
         ),
         seed=1,
     )
 
 
 def sends(courier, now, *events):
-    return [a for a in courier.handle(now, events) if isinstance(a, Send)]
+    return [a for a in courier.handle(now, events) if isinstance(a, SendAttempt)]
 
 
 def test_nothing_new_goes_to_a_cordoned_endpoint_whatever_the_list_says():
@@ -48,33 +49,33 @@
     to, message, now = [], 0, 0
     for _ in range(200):
         message, now = message + 1, now + 50_000
-        out = sends(courier, now, LISTED, MessageArrived(message, 0, 7, now + 60_000_000))
+        out = sends(courier, now, LISTED, MessageSubmitted(message, 0, 7, now + 60_000_000))
         to += [a.endpoint for a in out]
         for a in out:
-            courier.handle(now + 1000, [AttemptEnded(a.message, 0, a.endpoint, Result.OK, 1000, True)])
+            courier.handle(now + 1000, [AttemptEnded(a.message, 0, a.endpoint, AttemptResult.OK, 1000, True)])
     assert set(to) == {2} and len(to) > 150
-    assert courier.avoided() == [1]
+    assert courier.avoided_endpoints() == [1]
 
 
 def test_an_endpoint_put_back_starts_slowly():
     def calls(*events):
         courier = module()
-        listed = EndpointsListed(ListForm.FULL, (ListEntry(1, 7, EndpointState.READY),))
+        listed = EndpointListReceived(EndpointListForm.COMPLETE, (EndpointEntry(1, 7, EndpointState.READY),))
         sends(courier, 0, listed, *events)
         now, count = 0, 0
         for message in range(400):
             now += 5_000
-            out = sends(courier, now, MessageArrived(message, 0, 7, now + 60_000_000))
+            out = sends(courier, now, MessageSubmitted(message, 0, 7, now + 60_000_000))
             count += len(out)
             for a in out:
-                courier.handle(now + 1000, [AttemptEnded(a.message, 0, 1, Result.OK, 1000, True)])
+                courier.handle(now + 1000, [AttemptEnded(a.message, 0, 1, AttemptResult.OK, 1000, True)])
         return count, courier
 
     usual, _ = calls()
     slow, courier = calls(EndpointCordoned(1), EndpointCordoned(1), EndpointCordoned(1, False))
     never, _ = calls(EndpointCordoned(1, False))  # it was not cordoned: nothing changes
     assert usual == never == 400 and 0 < slow < usual / 10
-    assert courier.avoided() == []
+    assert courier.avoided_endpoints() == []
 
 
 @courier
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -8,7 +8,7 @@
 import pytest
 from loopback import Client, Discovery, Fleet, answer, bounded, courier, settings
 
-from message_relay.model import AttemptEnded, EndpointState, LoadReported
+from message_relay.model import AttemptEnded, EndpointState, LoadReportReceived
 from message_relay.server.configuration import ConfigError, load
 
 
@@ -54,15 +54,15 @@
     e = await fleet.endpoint("a", *reports)
     client = await fleet.inside()
     host, told = fleet.host, []
-    tell, host.s = host.tell, replace(host.s, report_fields=("x0", "x1"))
+    tell, host.s = host.tell, replace(host.s, load_report_fields=("x0", "x1"))
     host.tell = lambda event: (told.append(event), tell(event))
     for m in ("m1", "m2"):
         await client.put(m)
         await e.call()
         while sum(isinstance(event, AttemptEnded) for event in told) < int(m[1]):
             await asyncio.sleep(0.01)
-    reports = [event for event in told if isinstance(event, LoadReported)]
-    assert reports == [LoadReported(host.uids["a"], (0.4, 25.0))]
+    reports = [event for event in told if isinstance(event, LoadReportReceived)]
+    assert reports == [LoadReportReceived(host.uids["a"], (0.4, 25.0))]
 
 
 @courier
@@ -289,7 +289,7 @@
         async with Fleet(tmp_path, settings(familyInfo__maxCalls=0)) as fleet:
             return fleet.env()
 
-    with pytest.raises(ConfigError, match="^settings: slots"):
+    with pytest.raises(ConfigError, match="^settings: call_slots"):
         load(asyncio.run(run()))
 
 
@@ -326,7 +326,7 @@
         patch.setattr(fleet.host.calls, "_start", lambda call: 1 / 0)
         assert await client.put("m1", kind="unsafe") == "+OK"
         assert (await fleet.discovery.final())["status"] == "deferred"
-    assert fleet.host.courier.out == 0
+    assert fleet.host.policy.state.in_flight == 0
     await client.put("m2")
     assert (await fleet.endpoints["a"].call())[1]["x-request-id"] == "m2"
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -246,7 +246,7 @@
         fleet.host.listed(change)
         assert await client.put(f"m{n}") == "+OK"
         assert (await e.call())[1]["x-request-id"] == f"m{n}"
-    assert len(fleet.host.entries) == 1 and len(fleet.host.courier.endpoints) == 1
+    assert len(fleet.host.entries) == 1 and len(fleet.host.policy.state.endpoints) == 1
 
 
 def without_discovery(how):
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -9,7 +9,7 @@
 
 def kept(host):
     """The sizes of all that is kept for something that comes and goes."""
-    brain, journal, calls = host.courier, host.journal, host.calls
+    state, journal, calls = host.policy.state, host.journal, host.calls
     return {
         "uids": len(host.uids),
         "names": len(host.names),
@@ -27,14 +27,14 @@
         "pools": len(calls.pools),
         "out": len(calls.out),
         "idle": calls.idle - sum(len(p.idle) for p in calls.pools.values()),
-        "endpoints": len(brain.endpoints),
-        "messages": len(brain.messages),
-        "calls": len(brain.calls),
-        "lanes": sum(len(lane.endpoints) for d in brain.dests.values() for lane in d.lanes),
-        "keys": len(brain.keys),
-        "rests": len(brain.rests),
+        "endpoints": len(state.endpoints),
+        "messages": len(state.messages),
+        "calls": len(state.calls),
+        "lanes": sum(len(lane.endpoints) for d in state.destinations.values() for lane in d.groups),
+        "keys": len(state.order_queues),
+        "rests": len(state.order_pauses),
         "notices": len(host.notices.waiting),
-        "queued": sum(len(d.queue) for d in brain.dests.values()),
+        "queued": sum(len(d.queue) for d in state.destinations.values()),
     }
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,21 +14,22 @@
 import pytest
 from loopback import ROOT, Client, Endpoint, answer, bounded, courier, free_port, read_request, settings
 
-from message_relay.policy.delivery_policy import Courier
+from message_relay.policy.delivery_policy import DeliveryPolicy
+from message_relay.policy_snapshot import capture
 from message_relay.model import (
     AttemptEnded,
-    Effect,
+    Idempotency,
     EndpointCordoned,
-    EndpointsListed,
+    EndpointListReceived,
     EndpointState,
-    Inherited,
-    ListEntry,
-    ListForm,
-    MessageArrived,
+    StateImported,
+    EndpointEntry,
+    EndpointListForm,
+    MessageSubmitted,
     MessageClass,
-    Refuse,
-    Result,
-    Send,
+    RejectMessage,
+    AttemptResult,
+    SendAttempt,
     Settings,
 )
 from message_relay.server import hot_restart as h
@@ -43,15 +44,15 @@
 # The module
 
 
-def module(slots=4):
-    return Courier(
+def module(call_slots=4):
+    return DeliveryPolicy(
         Settings(
             classes=(
                 MessageClass("safe", 800_000, 60_000_000),
-                MessageClass("unsafe", 800_000, 60_000_000, Effect.UNSAFE),
+                MessageClass("unsafe", 800_000, 60_000_000, Idempotency.NON_IDEMPOTENT),
             ),
-            slots=slots,
-            max_held=100,
+            call_slots=call_slots,
+            max_open_messages=100,
             max_retry_after_us=1_000_000,
         ),
         seed=1,
@@ -59,41 +60,47 @@
 
 
 def listed(*endpoints):
-    return EndpointsListed(ListForm.FULL, tuple(ListEntry(e, d, READY) for e, d in endpoints))
+    return EndpointListReceived(
+        EndpointListForm.COMPLETE, tuple(EndpointEntry(e, d, READY) for e, d in endpoints)
+    )
 
 
 def arrived(number, dest=7, cls=0):
-    return MessageArrived(number, cls, dest, 60_000_000)
+    return MessageSubmitted(number, cls, dest, 60_000_000)
 
 
 def sends(actions):
-    return [(a.message, a.endpoint) for a in actions if isinstance(a, Send)]
+    return [(a.message, a.endpoint) for a in actions if isinstance(a, SendAttempt)]
 
 
-def handed(old, now, endpoints, *events, slots=4):
+def handed(old, now, endpoints, *events, call_slots=4):
     """A module that goes on where the old one was; its numbers of endpoints are others."""
-    new = module(slots)
-    return new, new.handle(now, [*events, Inherited(old.hand_over(), endpoints)])
+    new = module(call_slots)
+    return new, new.handle(now, [*events, StateImported(capture(old.state), endpoints)])
 
 
 def test_calls_that_are_out_count_against_slots_attempts_and_duplicates():
-    old = module(slots=1)
+    old = module(call_slots=1)
     assert sends(old.handle(0, [listed((1, 7)), arrived(1), arrived(2)])) == [(1, 1)]
-    new, actions = handed(old, 1000, {1: 50}, listed((50, 7)), slots=1)
-    assert sends(actions) == [] and new.out == 1  # neither the first again nor the second: the slot is taken
-    actions = new.handle(2000, [AttemptEnded(1, 0, 50, Result.OK, 2000, True)])
-    assert sends(actions) == [(2, 50)] and new.out == 1
-    old = module(slots=1)
+    new, actions = handed(old, 1000, {1: 50}, listed((50, 7)), call_slots=1)
+    assert (
+        sends(actions) == [] and new.state.in_flight == 1
+    )  # neither the first again nor the second: the slot is taken
+    actions = new.handle(2000, [AttemptEnded(1, 0, 50, AttemptResult.OK, 2000, True)])
+    assert sends(actions) == [(2, 50)] and new.state.in_flight == 1
+    old = module(call_slots=1)
     old.handle(0, [listed((1, 7)), arrived(1, cls=1)])
-    new, _ = handed(old, 1000, {1: 50}, listed((50, 7)), slots=1)
-    actions = new.handle(2000, [AttemptEnded(1, 0, 50, Result.CANCELLED, 0)])
-    assert sends(actions) == [] and new.out == 0 and not new.messages  # it may have run: not sent again
+    new, _ = handed(old, 1000, {1: 50}, listed((50, 7)), call_slots=1)
+    actions = new.handle(2000, [AttemptEnded(1, 0, 50, AttemptResult.CANCELLED, 0)])
+    assert (
+        sends(actions) == [] and new.state.in_flight == 0 and not new.state.messages
+    )  # it may have run: not sent again
 
 
 def test_a_told_wait_passes_also_without_the_endpoint_that_told_it():
     old = module()
     old.handle(0, [listed((1, 7)), arrived(1)])
-    old.handle(1000, [AttemptEnded(1, 0, 1, Result.FULL, 900, retry_after_us=2_000_000)])
+    old.handle(1000, [AttemptEnded(1, 0, 1, AttemptResult.REJECTED, 900, retry_after_us=2_000_000)])
     new, actions = handed(old, 2000, {1: 50}, listed((60, 7)))
     assert sends(actions) == []
     assert sends(new.handle(10_000, [arrived(2)])) == []
@@ -104,36 +111,36 @@
 def test_pace_windows_and_cold_endpoints_pass():
     old = module()
     old.handle(0, [listed((1, 7), (2, 8)), arrived(1), arrived(2, dest=8), EndpointCordoned(2)])
-    old.handle(5000, [AttemptEnded(1, 0, 1, Result.OK, 4000, True), EndpointCordoned(2, False)])
-    old.dests[7].lanes[0].rate = 3.5
+    old.handle(5000, [AttemptEnded(1, 0, 1, AttemptResult.OK, 4000, True), EndpointCordoned(2, False)])
+    old.state.destinations[7].groups[0].rate_limit_per_s = 3.5
     new, _ = handed(old, 6000, {1: 51, 2: 52}, listed((52, 8), (51, 7)))
-    a, b = new.endpoints[51], new.endpoints[52]
-    assert (a.lane.rate, a.lane.window, a.lane.mean) == (
+    a, b = new.state.endpoints[51], new.state.endpoints[52]
+    assert (a.group.rate_limit_per_s, a.group.concurrency_window, a.group.latency_mean_us) == (
         3.5,
-        old.endpoints[1].lane.window,
-        old.endpoints[1].lane.mean,
+        old.state.endpoints[1].group.concurrency_window,
+        old.state.endpoints[1].group.latency_mean_us,
     )
-    assert b.c.ramp_from == 5000 and a.c.ramp_from == -1
+    assert b.circuit.slow_start_since_us == 5000 and a.circuit.slow_start_since_us == -1
 
 
 def test_a_call_out_at_an_endpoint_that_is_listed_no_more_is_still_told_of():
     old = module()
     old.handle(0, [listed((1, 7)), arrived(1)])
     new, _ = handed(old, 1000, {1: 50}, listed((60, 8)))
-    assert new.out == 1
-    actions = new.handle(2000, [AttemptEnded(1, 0, 50, Result.FULL, 2000)])
-    assert [a.message for a in actions if isinstance(a, Refuse)] == [1]
-    assert new.out == 0 and 50 not in new.endpoints
+    assert new.state.in_flight == 1
+    actions = new.handle(2000, [AttemptEnded(1, 0, 50, AttemptResult.REJECTED, 2000)])
+    assert [a.message for a in actions if isinstance(a, RejectMessage)] == [1]
+    assert new.state.in_flight == 0 and 50 not in new.state.endpoints
 
 
 def test_a_wait_before_the_next_try_passes():
     old = module()
     old.handle(0, [listed((1, 7)), arrived(1)])
-    old.handle(1000, [AttemptEnded(1, 0, 1, Result.ERROR, 900)])
-    ready_at = old.messages[1].ready_at
+    old.handle(1000, [AttemptEnded(1, 0, 1, AttemptResult.ERROR, 900)])
+    ready_at = old.state.messages[1].ready_at_us
     assert ready_at > 1000
     new, actions = handed(old, 1001, {1: 50}, listed((50, 7)))
-    assert sends(actions) == [] and new.messages[1].ready_at == ready_at
+    assert sends(actions) == [] and new.state.messages[1].ready_at_us == ready_at
     assert sends(new.handle(ready_at + 1, [])) == [(1, 50)]
 
 
--- a/tests/test_restored.py
+++ b/tests/test_restored.py
@@ -7,7 +7,7 @@
 from loopback import Fleet, bounded
 from test_brain import CLASSES, Host, S, of
 
-from message_relay.model import Fail, MessageArrived, Refuse, Result, Send
+from message_relay.model import FailMessage, MessageSubmitted, RejectMessage, AttemptResult, SendAttempt
 
 SMALL, LARGE = 2, 200
 RESTORED, SLOTS = 30, 4
@@ -16,19 +16,19 @@
 class Restarted:
     """A courier whose first turn finds messages of before, with new ones that keep coming."""
 
-    def __init__(self, couriers, cls, life, latency, result=Result.OK, told=0):
-        self.h = Host(slots=SLOTS, couriers=couriers, max_held=RESTORED + 4)
+    def __init__(self, couriers, cls, life, latency, result=AttemptResult.OK, told=0):
+        self.h = Host(call_slots=SLOTS, instance_count=couriers, max_open_messages=RESTORED + 4)
         self.latency, self.result, self.told = latency, result, told
         self.tried, self.ended, self.out = [], [], []
         until = self.h.now + life
-        before = (MessageArrived(n, cls, 1, until, restored=True) for n in range(1, RESTORED + 1))
+        before = (MessageSubmitted(n, cls, 1, until, restored=True) for n in range(1, RESTORED + 1))
         self.note(self.h.do(*before))
         self.h.next = 1000
 
     def note(self, acts):
-        self.tried += [a.message for a in of(Send, acts)]
-        self.out += [(self.h.now + self.latency, a.message, a.endpoint) for a in of(Send, acts)]
-        self.ended += [a.message for a in of(Refuse, acts) + of(Fail, acts)]
+        self.tried += [a.message for a in of(SendAttempt, acts)]
+        self.out += [(self.h.now + self.latency, a.message, a.endpoint) for a in of(SendAttempt, acts)]
+        self.ended += [a.message for a in of(RejectMessage, acts) + of(FailMessage, acts)]
 
     def run(self, seconds, fresh=0):
         for step in range(round(seconds * 20)):
@@ -37,7 +37,7 @@
             for due in [x for x in self.out if x[0] <= self.h.now]:
                 self.out.remove(due)
                 result, told = self.result, self.told
-                self.result, self.told = Result.OK, 0  # only the first is answered otherwise
+                self.result, self.told = AttemptResult.OK, 0  # only the first is answered otherwise
                 self.note(self.h.end(due[1], result, self.latency, 0, due[2], told))
             for _ in range(fresh if step % 2 else 0):
                 self.note(self.h.arrive(cls=0))
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("couriers", [SMALL, LARGE])
 def test_a_refusal_ends_the_one_that_got_it_and_the_others_are_tried_after_the_wait(couriers):
-    restarted = Restarted(couriers, 0, 9 * S, 100_000, Result.FULL, told=300_000)
+    restarted = Restarted(couriers, 0, 9 * S, 100_000, AttemptResult.REJECTED, told=300_000)
     assert len(restarted.run(9, fresh=1)) == RESTORED
     assert [n for n in restarted.ended if n <= RESTORED] == [1]
 
@@ -76,9 +76,9 @@
 def test_the_one_with_the_least_time_left_goes_first():
     h = Host()
     lives = {1: 9, 2: 4, 3: 6}
-    h.do(*(MessageArrived(n, 0, 1, h.now + s * S, restored=True) for n, s in lives.items()))
-    h.end(2, Result.OK)
-    h.end(3, Result.OK)
+    h.do(*(MessageSubmitted(n, 0, 1, h.now + s * S, restored=True) for n, s in lives.items()))
+    h.end(2, AttemptResult.OK)
+    h.end(3, AttemptResult.OK)
     assert list(h.tries) == [2, 3, 1]
 
 
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -7,12 +7,12 @@
 from loopback import Endpoint, answer, bounded, courier
 from test_calls import Outcomes
 
-from message_relay.model import Result
+from message_relay.model import AttemptResult
 from message_relay.server.endpoint_calls import client as c
 from message_relay.server.http.connection import Answer, Exchange
 
-OK = c.Outcome(Result.OK, over=True)
-MAY_HAVE_RUN = c.Outcome(Result.ERROR, spoilt=True)
+OK = c.Outcome(AttemptResult.OK, over=True)
+MAY_HAVE_RUN = c.Outcome(AttemptResult.ERROR, spoilt=True)
 ENDLESS = b"HTTP/1.1 %d x\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 70000
 SPOILT = {
     "503 with a head that can't be read": b"HTTP/1.1 503 x\r\nBad\x00Head: 1\r\n\r\n",
@@ -34,23 +34,23 @@
 GOOD = {
     "1xx ahead": (
         b"HTTP/1.1 100 x\r\n\r\nHTTP/1.1 103 x\r\nLink: y\r\n\r\n" + answer(503),
-        c.Outcome(Result.FULL),
+        c.Outcome(AttemptResult.REJECTED),
     ),
-    "a second copy": (answer(503) * 2, c.Outcome(Result.FULL)),
+    "a second copy": (answer(503) * 2, c.Outcome(AttemptResult.REJECTED)),
     "a bad report": (
         answer(429, Retry_After="0.2", X_Server_Load="x0=,=,nan"),
-        c.Outcome(Result.FULL, wait_us=200_000),
+        c.Outcome(AttemptResult.REJECTED, wait_us=200_000),
     ),
     "200, then a head that can't be read": (b"HTTP/1.1 200 OK\r\n\x00\x01\r\n\r\n", OK),
     "200, then 3 GB": (ENDLESS % 200, OK),
     "200, then nothing": (b"HTTP/1.1 200 OK\r\n", OK),
     "200 with no reason, then nothing": (b"HTTP/1.1 100 x\r\nA: b\r\n\r\nHTTP/1.1 200\r\n", OK),
     "200 and noise": (answer(200) + b"\x00\x01noise", OK),
-    "an end with no length": ("close", c.Outcome(Result.FULL)),
-    "wait nan": (answer(429, Retry_After="nan"), c.Outcome(Result.FULL)),
-    "wait inf": (answer(429, Retry_After="inf"), c.Outcome(Result.FULL)),
-    "wait of years": (answer(429, Retry_After="1e9"), c.Outcome(Result.FULL)),
-    "wait below nothing": (answer(429, Retry_After="-3"), c.Outcome(Result.FULL)),
+    "an end with no length": ("close", c.Outcome(AttemptResult.REJECTED)),
+    "wait nan": (answer(429, Retry_After="nan"), c.Outcome(AttemptResult.REJECTED)),
+    "wait inf": (answer(429, Retry_After="inf"), c.Outcome(AttemptResult.REJECTED)),
+    "wait of years": (answer(429, Retry_After="1e9"), c.Outcome(AttemptResult.REJECTED)),
+    "wait below nothing": (answer(429, Retry_After="-3"), c.Outcome(AttemptResult.REJECTED)),
 }
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -13,7 +13,8 @@
 from policy_scenarios import CLASSES, SCENARIOS, play
 
 from message_relay import model as i
-from message_relay.policy.delivery_policy import Courier
+from message_relay.policy.delivery_policy import DeliveryPolicy
+from message_relay.policy_snapshot import PolicySnapshot, capture
 from message_relay.server import hot_restart as h
 from message_relay.server.journal import journal as state
 from message_relay.server.configuration import load
@@ -184,23 +185,26 @@
 
 # The policy: the same actions on the same days, and the same state to hand on.
 
-EFFECTS = {"safe": i.Effect.SAFE, "keyed": i.Effect.KEYED, "unsafe": i.Effect.UNSAFE}
-RESULTS = {"rejected": i.Result.FULL, "not_attempted": i.Result.MOOT}
+IDEMPOTENCY = {
+    "safe": i.Idempotency.IDEMPOTENT,
+    "keyed": i.Idempotency.KEYED,
+    "unsafe": i.Idempotency.NON_IDEMPOTENT,
+}
 STATES = {
     "ready": i.EndpointState.READY,
     "draining": i.EndpointState.DRAINING,
-    "removed": i.EndpointState.GONE,
+    "removed": i.EndpointState.REMOVED,
 }
 FORMS = {
-    "complete": i.ListForm.FULL,
-    "delta": i.ListForm.DELTA,
-    "cached": i.ListForm.CACHED,
-    "failed": i.ListForm.FAILED,
+    "complete": i.EndpointListForm.COMPLETE,
+    "delta": i.EndpointListForm.DELTA,
+    "cached": i.EndpointListForm.CACHED,
+    "failed": i.EndpointListForm.FAILED,
 }
 
 
 def message_class(c):
-    idempotency = EFFECTS[c["idempotency"]]
+    idempotency = IDEMPOTENCY[c["idempotency"]]
     return i.MessageClass(
         c["name"],
         c["objective"],
@@ -208,7 +212,7 @@
         idempotency,
         c["weight"],
         c["late_share"],
-        c["scope"],
+        i.KeyScope(c["scope"]),
         c["window"],
         c["ordered"],
     )
@@ -217,71 +221,71 @@
 def settings_of(s):
     return i.Settings(
         classes=tuple(map(message_class, CLASSES)),
-        slots=s["slots"],
-        max_held=s["open"],
-        kinds=tuple(i.Kind(f"k{n}", apart, batch) for n, (apart, batch) in enumerate(s["kinds"])),
+        call_slots=s["slots"],
+        max_open_messages=s["open"],
+        kinds=tuple(i.DestinationKind(f"k{n}", apart, batch) for n, (apart, batch) in enumerate(s["kinds"])),
         tenants=tuple(i.Tenant(f"t{n}", share, quota) for n, (share, quota) in enumerate(s["tenants"])),
-        couriers=s["instances"],
+        instance_count=s["instances"],
         max_attempts=s["max_attempts"],
-        tick_us=5000,
+        turn_interval_us=5000,
         max_retry_after_us=s["retry_after"],
         clients_mark_retries=s["clients_mark_retries"],
-        cold_share=s["first_share"],
-        cold_us=s["slow_start"],
-        fall_multiple=s["multiple"],
-        fall_us=s.get("window", 1_000_000),
-        key_rest_us=s["key_rest"],
-        list_on_request=s.get("on_request", False),
-        rates_listed=s.get("rates_advertised", False),
-        report_fields=s.get("report", ()),
-        over_share_worth=s.get("over_quota_weight", 1.0),
-        late_halves=s.get("halves", False),
-        zone_fees=s.get("zone_costs", ()),
-        refused_price=s.get("rejected_cost", 0.0),
+        slow_start_share=s["first_share"],
+        slow_start_us=s["slow_start"],
+        overload_factor=s["multiple"],
+        overload_window_us=s.get("window", 1_000_000),
+        order_key_pause_us=s["key_rest"],
+        endpoint_list_on_request=s.get("on_request", False),
+        rate_limits_advertised=s.get("rates_advertised", False),
+        load_report_fields=s.get("report", ()),
+        over_quota_weight=s.get("over_quota_weight", 1.0),
+        late_weight_halves=s.get("halves", False),
+        zone_costs=s.get("zone_costs", ()),
+        rejected_call_cost=s.get("rejected_cost", 0.0),
     )
 
 
 def event_of(event):
     match event:
         case "list", form, entries:
-            listed = (i.ListEntry(e, d, STATES[s], rate, kind, zone) for e, d, s, rate, kind, zone in entries)
-            return i.EndpointsListed(FORMS[form], tuple(listed))
+            listed = (
+                i.EndpointEntry(e, d, STATES[s], rate, kind, zone) for e, d, s, rate, kind, zone in entries
+            )
+            return i.EndpointListReceived(FORMS[form], tuple(listed))
         case "message", *values:
-            return i.MessageArrived(*values)
+            return i.MessageSubmitted(*values)
         case "load", endpoint, values:
-            return i.LoadReported(endpoint, values)
+            return i.LoadReportReceived(endpoint, values)
         case "response_started", *values:
-            return i.AttemptAnswering(*values)
+            return i.ResponseStarted(*values)
         case "ended", message, attempt, endpoint, result, *values:
-            return i.AttemptEnded(
-                message, attempt, endpoint, RESULTS.get(result) or i.Result(result), *values
-            )
+            return i.AttemptEnded(message, attempt, endpoint, i.AttemptResult(result), *values)
         case "cordon", endpoint, on:
             return i.EndpointCordoned(endpoint, on)
         case "withdrawn", message:
-            return i.MessageGone(message)
+            return i.MessageWithdrawn(message)
         case "shutdown", until:
-            return i.Closing(until)
+            return i.ShutdownScheduled(until)
         case "timer", token:
-            return i.TimerDue(token)
+            return i.TimerFired(token)
     raise ValueError(event)
 
 
 def action_of(action):
     match action:
-        case i.Send():
-            timeouts = (action.timeout_us, action.fresh_timeout_us)
-            return ["send", action.message, action.endpoint, *timeouts, action.fresh]
-        case i.Refuse():
+        case i.SendAttempt():
+            timeouts = (action.timeout_us, action.new_connection_timeout_us)
+            return ["send", action.message, action.endpoint, *timeouts, action.require_new_connection]
+        case i.RejectMessage():
             return ["reject", action.message, action.retry_after_us]
-        case i.Fail():
+        case i.FailMessage():
             return ["fail", action.message]
         case i.SetTimer():
             return ["timer", action.delay_us, action.token]
-        case i.CloseIdle():
+        case i.CloseIdleConnections():
             return ["close_idle", action.endpoint]
-        case i.Subscribe():
-            return ["subscribe", action.on]
+        case i.SubscribeEndpointList():
+            return ["subscribe", action.active]
     raise ValueError(action)
 
 
@@ -290,24 +294,29 @@
 
     def __init__(self, scenario, seed):
         self.settings = settings_of(scenario)
-        self.policy = Courier(self.settings, seed)
+        self.policy = DeliveryPolicy(self.settings, seed)
 
     def _actions(self, now, events):
         actions = self.policy.handle(now, events)
-        return [action_of(action) for action in actions if not isinstance(action, i.Log)]
+        return [action_of(action) for action in actions if not isinstance(action, i.LogMessage)]
 
     def handle(self, now, events):
         return self._actions(now, [event_of(event) for event in events])
 
     def inspect(self):
-        return [["avoided", *sorted(self.policy.avoided())], ["come_back", self.policy.come_back_us()]]
+        return [
+            ["avoided", *sorted(self.policy.avoided_endpoints())],
+            ["come_back", self.policy.come_back_us()],
+        ]
 
     def export(self):
-        return msgpack.packb(self.policy.hand_over())
+        return msgpack.packb(capture(self.policy.state).to_wire())
 
     def replace(self, snapshot, numbers, seed, now, events):
-        self.policy = Courier(self.settings, seed)
-        inherited = i.Inherited(msgpack.unpackb(snapshot, strict_map_key=False), numbers)
+        self.policy = DeliveryPolicy(self.settings, seed)
+        inherited = i.StateImported(
+            PolicySnapshot.from_wire(msgpack.unpackb(snapshot, strict_map_key=False)), numbers
+        )
         return self._actions(now, [*[event_of(event) for event in events], inherited])
 
 
@@ -405,30 +414,33 @@
             await bounded(h.take_over(loop, new, path))
             await bounded(playing)
             assert earlier.asked == [["take", 3], ["owned"]]
-            policy = new.courier
-            assert {m.id: (m.tries, m.out) for m in policy.messages.values()} == {
+            policy = new.policy.state
+            assert {m.id: (m.attempts, m.in_flight) for m in policy.messages.values()} == {
                 3: (1, 1),
                 4: (0, 0),
                 5: (1, 1),
             }
-            assert policy.out == 2 and [x.number for x in policy.dests.values()] == [7, 9, 8, 10]
+            assert policy.in_flight == 2 and [x.number for x in policy.destinations.values()] == [7, 9, 8, 10]
             assert policy.endpoints[4].cordoned and not policy.endpoints[1].cordoned
-            assert policy.endpoints[3].lane.wait_until == 372_341_669 and policy.endpoints[3].c.open
+            assert (
+                policy.endpoints[3].group.retry_after_until_us == 372_341_669
+                and policy.endpoints[3].circuit.open
+            )
             assert new.waits == {(8, -1): 372_336_378}
-            assert policy.avoided() == [3, 4, 5]
+            assert new.policy.avoided_endpoints() == [3, 4, 5]
             # What it would hand on now is what it was handed, and so are the requests of its clients.
             states = [client.state() for client in new.clients.clients]
             assert states == clients_frame[1]
-            exported = json.loads(json.dumps(policy.hand_over()))
+            exported = json.loads(json.dumps(capture(policy).to_wire()))
             assert exported == json.loads(json.dumps(given["brain"]))
-            assert list(policy.hand_over()) == list(given["brain"])
+            assert list(capture(policy).to_wire()) == list(given["brain"])
             # One client goes on with the request that it had begun; the outcomes of the calls are heeded.
             rest = Client.message("half", dest=8)[60:]
             await loop.sock_sendall(earlier.clients[1], rest)
             assert await bounded(loop.sock_recv(earlier.clients[1], 100)) == b"+OK\r\n"
             for report in earlier.reports:
                 earlier.channel.send(report)
-            while new.journal.open > 2 or policy.out:
+            while new.journal.open > 2 or policy.in_flight:
                 await asyncio.sleep(0.001)
             assert [m.id for m in new.journal.held.values()] == ["waiting", "half"]
             assert new.counters.success == [1, 0, 1]
--- a/tests/test_wide_lists.py
+++ b/tests/test_wide_lists.py
@@ -58,14 +58,14 @@
             host.turn()
             took = time.process_time() - began
             assert len([e for e in host.entries.values() if host.names[e.endpoint].startswith("s-")]) == MANY
-            assert len(host.courier.endpoints) >= MANY
+            assert len(host.policy.state.endpoints) >= MANY
             for piece in form(targets("terminating")):
                 host.watch.data(piece)
             host.turn()
             assert not [
                 ep
-                for ep in host.courier.endpoints.values()
-                if ep.state.value == "ready" and ep.lane.dest.number != 7
+                for ep in host.policy.state.endpoints.values()
+                if ep.state.value == "ready" and ep.group.destination.number != 7
             ]
             print(f"{form.__name__}: {took * 1000:.0f} ms of processor time")
             assert took < 1.0  # measured: 10 to 20 ms
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,6 +10,9 @@
 
 from message_relay import model as i
 from message_relay.simulator_adapter import frames as wire
+from message_relay.policy.delivery_policy import DeliveryPolicy
+from message_relay.simulator_adapter.loop import Adapter
+from message_relay.simulator_adapter.settings_json import read_settings
 
 SETTINGS = {
     "classes": [
@@ -80,24 +83,28 @@
 
 
 def events(data):
-    _, _, _, count = wire.split_header(data[:20])
-    return list(wire.read_events(data[20:], count, {}))
+    header = wire.read_header(data[:20])
+    return list(wire.read_events(data[20:], header.record_count, {}))
 
 
 def test_settings_are_read_and_unknown_keys_ignored():
-    s = wire.read_settings(json.dumps(SETTINGS))
-    assert s.slots == 6 and s.kinds == (i.Kind("k", True, 3),) and s.classes[1].effect is i.Effect.UNSAFE
-    assert s.max_retry_after_us == 7 and s.rates_listed and not s.second_copies
+    s = read_settings(json.dumps(SETTINGS))
+    assert (
+        s.call_slots == 6
+        and s.kinds == (i.DestinationKind("k", True, 3),)
+        and s.classes[1].idempotency is i.Idempotency.NON_IDEMPOTENT
+    )
+    assert s.max_retry_after_us == 7 and s.rate_limits_advertised and not s.hedging_allowed
 
 
 def test_begin_list_and_arrival():
     got = events(begin_batch())
     assert got[0][0] == 3 and got[0][1].seed == 80
-    assert got[1][1] == i.EndpointsListed(
-        i.ListForm.CACHED,
-        (i.ListEntry(wire.endpoint_id(ADDRESS, 9003), 57, i.EndpointState.READY, 4.0, 0, 0),),
+    assert got[1][1] == i.EndpointListReceived(
+        i.EndpointListForm.CACHED,
+        (i.EndpointEntry(wire.endpoint_id(ADDRESS, 9003), 57, i.EndpointState.READY, 4.0, 0, 0),),
     )
-    assert events(arrival(9, 2, 10))[0][1] == i.MessageArrived(9, 0, 57, 6_000_010, 0, 0, True)
+    assert events(arrival(9, 2, 10))[0][1] == i.MessageSubmitted(9, 0, 57, 6_000_010, 0, 0, True)
 
 
 def test_a_list_number_used_again_means_the_newer_list():
@@ -116,7 +123,7 @@
         )
     )
     assert [e.entries[0].endpoint & 0xFFFF for _, e in got] == [1, 2]
-    assert got[1][1].entries[0].state is i.EndpointState.GONE
+    assert got[1][1].entries[0].state is i.EndpointState.REMOVED
 
 
 def test_outcomes_probes_notes_and_the_rest():
@@ -140,19 +147,19 @@
     ]
     ep = wire.endpoint_id(ADDRESS, 9003)
     assert got == [
-        i.AttemptEnded(5, 1, ep, i.Result.FULL, 18, False, 250_000),
-        i.ProbeEnded(ep, i.Result.OK, 1400),
-        i.PeerNote(2, b"hi 7"),
-        i.MessageGone(5),
-        i.TimerDue(77),
-        i.AttemptAnswering(5, 1, ep),
-        i.EndpointsListed(i.ListForm.FAILED),
+        i.AttemptEnded(5, 1, ep, i.AttemptResult.REJECTED, 18, False, 250_000),
+        i.HealthCheckEnded(ep, i.AttemptResult.OK, 1400),
+        i.GossipReceived(2, b"hi 7"),
+        i.MessageWithdrawn(5),
+        i.TimerFired(77),
+        i.ResponseStarted(5, 1, ep),
+        i.EndpointListReceived(i.EndpointListForm.FAILED),
     ]
 
 
 def test_an_answer_with_a_load_report_is_two_events():
     settings = {**SETTINGS, "report": {"fields": ["x0", "x1"], "how": "piggyback"}}
-    assert wire.read_settings(json.dumps(settings)).report_fields == ("x0", "x1")
+    assert read_settings(json.dumps(settings)).load_report_fields == ("x0", "x1")
     got = [
         e
         for _, e in events(
@@ -165,16 +172,19 @@
         )
     ]
     ep = wire.endpoint_id(ADDRESS, 9003)
-    assert got == [i.AttemptEnded(5, 1, ep, i.Result.OK, 18, True), i.LoadReported(ep, (0.5, 25.0))]
+    assert got == [
+        i.AttemptEnded(5, 1, ep, i.AttemptResult.OK, 18, True),
+        i.LoadReportReceived(ep, (0.5, 25.0)),
+    ]
 
 
 def test_actions_are_packed_as_the_page_shows():
-    reply = wire.Reply()
-    reply.instance(3)
-    reply.action(i.Send(0x5D3A91C4, wire.endpoint_id(ADDRESS, 9003), 80_000))
-    reply.action(i.SetTimer(500_000, 77))
-    reply.instance(5)
-    reply.action(i.Log("two servers known"))
+    reply = wire.ReplyFrame()
+    reply.add_instance(3)
+    reply.add_action(i.SendAttempt(0x5D3A91C4, wire.endpoint_id(ADDRESS, 9003), 80_000))
+    reply.add_action(i.SetTimer(500_000, 77))
+    reply.add_instance(5)
+    reply.add_action(i.LogMessage("two servers known"))
     assert reply.pack(12).hex() == (
         "0000000c"
         "00000005"
@@ -188,19 +198,19 @@
 @pytest.mark.parametrize(
     "action, code",
     [
-        (i.Refuse(1, 2), 2),
-        (i.Fail(1), 3),
-        (i.Cancel(1, 0), 4),
-        (i.Probe(1), 6),
-        (i.CloseIdle(1), 7),
-        (i.SendNote(None, b"x"), 8),
-        (i.Subscribe(), 11),
-        (i.FetchList(), 12),
+        (i.RejectMessage(1, 2), 2),
+        (i.FailMessage(1), 3),
+        (i.CancelAttempt(1, 0), 4),
+        (i.CheckEndpointHealth(1), 6),
+        (i.CloseIdleConnections(1), 7),
+        (i.SendGossip(None, b"x"), 8),
+        (i.SubscribeEndpointList(), 11),
+        (i.FetchEndpointList(), 12),
     ],
 )
 def test_every_action_has_its_code(action, code):
-    reply = wire.Reply()
-    reply.action(action)
+    reply = wire.ReplyFrame()
+    reply.add_action(action)
     assert len(reply.records[0]) == 16 and reply.records[0][0] == code
 
 
@@ -228,11 +238,9 @@
 
 
 def test_an_exception_in_the_brain_is_reported_as_a_fault(monkeypatch):
-    from message_relay.simulator_adapter import __main__ as simhost
-
-    monkeypatch.setattr(simhost.Courier, "handle", lambda *a: 1 / 0)
+    monkeypatch.setattr(DeliveryPolicy, "handle", lambda *a: 1 / 0)
     data = begin_batch()
-    reply = simhost.answer(1, 5, data[20:], 4, {}, {})
+    reply = Adapter().reply(wire.read_header(data[:20]), data[20:])
     assert reply[12 + 16] == 10 and b"ZeroDivisionError" in reply
 
 
@@ -264,15 +272,15 @@
 @pytest.mark.parametrize(
     "field, change",
     [
-        ("slots", {"slots": 0}),
-        ("cold_share", {"cold_share": 1.5}),
-        ("cold_us", {"cold_us": -1}),
+        ("call_slots", {"call_slots": 0}),
+        ("slow_start_share", {"slow_start_share": 1.5}),
+        ("slow_start_us", {"slow_start_us": -1}),
         ("classes", {"classes": ()}),
         ("max_attempts", {"max_attempts": 0}),
     ],
 )
 def test_invalid_settings_name_the_field(field, change):
-    good = {"classes": (i.MessageClass("a", 1, 2),), "slots": 1, "max_held": 1}
+    good = {"classes": (i.MessageClass("a", 1, 2),), "call_slots": 1, "max_open_messages": 1}
     i.Settings(**good)
     with pytest.raises(ValueError, match=field):
         i.Settings(**{**good, **change})
@@ -282,4 +290,4 @@
     bad = json.loads(json.dumps(SETTINGS))
     bad["classes"][0]["idempotency"] = "sometimes"
     with pytest.raises(ValueError, match="idempotency"):
-        wire.read_settings(json.dumps(bad))
+        read_settings(json.dumps(bad))
