--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -80,7 +80,7 @@
     places = {100 + n: (n % 3, n % 2) for n in range(6)}  # endpoint: destination, zone
     state = dict.fromkeys(places, EndpointState.READY)
     apart = [s.kinds[d % 2].independent_endpoints for d in range(3)]
-    batch = [s.kinds[d % 2].batch for d in range(3)]
+    batch = [s.kinds[d % 2].max_batch_size for d in range(3)]
     now, ident, waits, timers = 10 * S, 0, {}, []
     live, history, out, ended, order, rest = {}, {}, {}, {}, [], {}
     mood = r.choice(((9, 1, 1, 1, 1, 1, 1), (1, 3, 3, 3, 3, 1, 1), (5, 0, 4, 0, 4, 0, 0)))
@@ -174,7 +174,7 @@
         for e, n in calls.items():
             assert n <= batch[places[e][0]] or batch[places[e][0]] == 1
         if batch == [1, 1, 1]:
-            assert len(out) <= s.slots
+            assert len(out) <= s.call_slots
             for d in range(3):
                 busy = len([1 for e, *_ in out.values() if places[e][0] == d])
                 assert busy <= max(1, int(DESTINATION_SLOT_SHARE * s.call_slots))
