--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -147,7 +147,7 @@
                     assert c.idempotency is not Idempotency.NON_IDEMPOTENT
                     if c.idempotency is Idempotency.KEYED:
                         assert now < ran[0][2] + c.key_window_us
-                        assert c.key_scope == "all" or places[a.endpoint][1] == places[ran[0][1]][1]
+                        assert c.key_scope is KeyScope.ALL or places[a.endpoint][1] == places[ran[0][1]][1]
                 if m.order_key:
                     before = [
                         x
@@ -169,7 +169,7 @@
                 assert now <= m.deadline_us + s.answer_slack_us
                 c, ran = s.classes[m.message_class], [h for h in history[a.message] if h[0] not in UNRUN]
                 if isinstance(a, RejectMessage) and c.idempotency is not Idempotency.IDEMPOTENT:
-                    assert not ran or c.idempotency is Idempotency.KEYED and c.key_scope == "all"
+                    assert not ran or c.idempotency is Idempotency.KEYED and c.key_scope is KeyScope.ALL
                     assert not [k for k in out if k[0] == a.message]
         for e, n in calls.items():
             assert n <= batch[places[e][0]] or batch[places[e][0]] == 1
