--- a/message_relay/policy/concurrency_window.py
+++ b/message_relay/policy/concurrency_window.py
@@ -1,6 +1,6 @@
 """Windows: calls in flight to a group, and connections to an endpoint, that were seen to be taken."""
 
-from message_relay.policy_state import Endpoint, EndpointGroup, PolicyState
+from message_relay.policy_state import Destination, Endpoint, EndpointGroup, PolicyState
 
 TABLE_RETRY_US = 2_000_000  # one more connection than a full table took is tried after this
 
@@ -34,12 +34,15 @@
         endpoint.connection_limit_at_us = state.now_us
 
 
-def is_full(state: PolicyState, endpoint: Endpoint) -> bool:
-    """Whether no slot, window or connection is left for one more call there."""
+def slots_taken(state: PolicyState, destination: Destination) -> bool:
+    """Whether no slot is left for one more call to the destination."""
+    return state.in_flight >= state.settings.call_slots or destination.in_flight >= state.destination_limit
+
+
+def is_full(endpoint: Endpoint) -> bool:
+    """Whether the window of its group or its table of connections leaves no place for one more call."""
     group = endpoint.group
     return (
-        state.in_flight >= state.settings.call_slots
-        or group.destination.in_flight >= state.destination_limit
-        or group.in_flight >= int(group.concurrency_window)
+        group.in_flight >= int(group.concurrency_window)
         or len(endpoint.in_flight) >= endpoint.connection_limit
     )
--- a/message_relay/policy/eligibility.py
+++ b/message_relay/policy/eligibility.py
@@ -21,13 +21,9 @@
 
 
 def endpoint_admits(state: PolicyState, endpoint: Endpoint, fast_retry: bool = False) -> bool:
-    """Whether the endpoint may get a call now; fast_retry: for a message that failed fast."""
+    """Whether the endpoint may get a call, if a slot is free; fast_retry: for a message that failed fast."""
     group, now, circuit = endpoint.group, state.now_us, endpoint.circuit
-    if (
-        endpoint.cordoned
-        or endpoint.state is not EndpointState.READY
-        or concurrency_window.is_full(state, endpoint)
-    ):
+    if endpoint.cordoned or endpoint.state is not EndpointState.READY or concurrency_window.is_full(endpoint):
         return False
     if now < group.retry_after_until_us:
         state.wake(group.retry_after_until_us)
--- a/message_relay/policy/selection.py
+++ b/message_relay/policy/selection.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from message_relay.policy import timeouts
+from message_relay.policy import concurrency_window, timeouts
 from message_relay.policy.eligibility import attempt_allowed, endpoint_admits
 from message_relay.policy_state import Destination, Endpoint, Message, PolicyState
 
@@ -30,6 +30,8 @@
 
 def select(state: PolicyState, destination: Destination) -> Candidate | None:
     """The message of a destination that loses most by waiting, and the endpoint for it."""
+    if concurrency_window.slots_taken(state, destination):
+        return None
     fast_retry = any(
         message.fast_retry and message.ready_at_us <= state.now_us for message in destination.queue
     )
