--- a/message_relay/__main__.py
+++ b/message_relay/__main__.py
@@ -53,7 +53,7 @@
         host.handed_over = lambda: predecessor.reported
         predecessor.listen()
         logging.info(
-            "%s is ready on port %d with %d messages restored", config.name, port, len(host.journal.held)
+            "%s is ready on port %d with %d messages restored", config.name, port, len(host.journal.messages)
         )
     else:
         starting.cancel()
--- a/message_relay/server/hot_restart.py
+++ b/message_relay/server/hot_restart.py
@@ -21,7 +21,7 @@
 
 import msgpack
 
-from message_relay.server.journal.journal import Journal, Taken
+from message_relay.server.journal import Journal, JournalLockedError
 
 VERSION = 3  # of what is handed on; another one is told no, and starts from the journal instead
 LENGTH = struct.Struct(">I")
@@ -267,7 +267,7 @@
             return
         try:
             self.host.journal.reacquire()
-        except Taken:  # it owns, and can't be told any more what comes of the calls that are out
+        except JournalLockedError:  # it owns, and can't be told any more what comes of the calls that are out
             log.error("the other process has the journal but has let go of this one")
             self.owned = True
             self.host.retire()
@@ -393,7 +393,7 @@
     """Own the courier: from the process that serves, or else from its journal once it has ended."""
     warm = False
     while True:
-        with contextlib.suppress(Taken):
+        with contextlib.suppress(JournalLockedError):
             host.journal.acquire()
             return await host.assume()
         if not warm:
@@ -419,7 +419,7 @@
     for _ in range(int(LOCK_S / 0.01)):
         try:
             journal.acquire()
-        except Taken:
+        except JournalLockedError:
             await asyncio.sleep(0.01)
         else:
             return True
--- /dev/null
+++ b/message_relay/server/journal/index.py
@@ -0,0 +1,175 @@
+"""What the journal's records add up to, in memory."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Iterator
+
+from message_relay.server.journal.expiring_index import ExpiringIndex
+from message_relay.server.journal.records import (
+    AcceptedMessage,
+    AttemptNotApplied,
+    AttemptStarted,
+    EndpointCordonChanged,
+    FinalOwed,
+    FinalStatus,
+    JournalRecord,
+    JournalSummary,
+    MessageAccepted,
+    MessagesCompleted,
+)
+
+FINISHED_ID_GRACE_S = 2.0  # how long a finished message's id stays known past the message's deadline
+KEY_GRACE_S = 2.0  # how long an idempotency key stays known past its window
+STORED_BYTES_PER_CORDON = 8  # that a cordon takes in a compacted file, its uid not counted
+STORED_BYTES_BASE = 512  # of a compacted file with nothing in it, rounded up to a block
+
+
+class JournalIndex:
+    """Open messages, owed notices, cordons, and what is still known of finished messages.
+
+    Records are applied in the order of the file, both when they are written and when they are restored.
+    """
+
+    def __init__(self, key_window_s: float) -> None:
+        self.messages: dict[int, AcceptedMessage] = {}
+        self.numbers_by_id: dict[str, int] = {}
+        self.open_count = 0  # messages without an outcome yet
+        self.open_number_by_key: dict[str, int] = {}  # of the open messages
+        self.open_bytes = 0  # upper bound of what the messages take in a compacted file
+        self.last_number = 0
+        self.cordoned: dict[str, None] = {}  # uids, the oldest cordon first
+        self.finished_ids = ExpiringIndex()
+        self.idempotency_keys = ExpiringIndex()  # by the first attempt that was possibly applied
+        self._key_lifetime_s = key_window_s + KEY_GRACE_S
+
+    @property
+    def live_bytes(self) -> int:
+        """Upper bound of the bytes that a compacted file would take."""
+        cordons = sum(len(uid) + STORED_BYTES_PER_CORDON for uid in self.cordoned)
+        known = self.finished_ids.stored_bytes + self.idempotency_keys.stored_bytes
+        return self.open_bytes + known + cordons + STORED_BYTES_BASE
+
+    def key_applied_at_s(self, key: str) -> float:
+        """Return when the key's first possibly applied attempt started, 0 if none is known."""
+        at_s = self.idempotency_keys.time_of(key)
+        return at_s if time.time() - at_s < self._key_lifetime_s else 0.0
+
+    def expire(self, now_s: float) -> None:
+        """Remove the ids and keys whose time is up."""
+        self.finished_ids.expire(now_s)
+        self.idempotency_keys.expire(now_s)
+
+    def apply(self, record: JournalRecord) -> None:
+        """Apply one record. Records of messages that are not known any more change nothing."""
+        match record:
+            case MessageAccepted():
+                self._add_message(record.message)
+            case AttemptStarted():
+                self._start_attempt(record)
+            case AttemptNotApplied():
+                self._revoke_attempt(record)
+            case MessagesCompleted():
+                self._complete(record)
+            case FinalOwed():
+                message = self.messages.get(record.number)
+                if message is not None:
+                    self.mark_final(message, record.status, record.retry_after_ms)
+            case EndpointCordonChanged():
+                self._change_cordon(record)
+            case JournalSummary():
+                self._restore_summary(record)
+
+    def mark_final(self, message: AcceptedMessage, status: FinalStatus, retry_after_ms: int) -> None:
+        """Give the message its outcome: only the notice is owed from now on, so the body is dropped."""
+        self._close(message)
+        self.open_bytes -= len(message.body)
+        message.final_status = status
+        message.retry_after_ms = retry_after_ms
+        message.body = b""
+
+    def forget_messages(self) -> None:
+        """Drop the messages, as another process owns them now. What is known of ids and keys stays."""
+        self.messages.clear()
+        self.open_count = 0
+
+    def compacted_records(self) -> Iterator[JournalRecord]:
+        """Yield the records that a compacted file consists of, in their order."""
+        finished_ids = {text: entry.expires_at_s for text, entry in self.finished_ids.entries.items()}
+        keys = {text: (entry.at_s, entry.zone) for text, entry in self.idempotency_keys.entries.items()}
+        yield JournalSummary(self.last_number, finished_ids, keys)
+        for uid in self.cordoned:
+            yield EndpointCordonChanged(uid, True)
+        for message in self.messages.values():
+            yield MessageAccepted(message)
+
+    def _add_message(self, message: AcceptedMessage) -> None:
+        self.messages[message.number] = message
+        self.numbers_by_id[message.id] = message.number
+        self.last_number = max(self.last_number, message.number)
+        self.open_bytes += message.stored_bytes
+        if message.final_status is not None:
+            return
+        self.open_count += 1
+        if message.idempotency_key:
+            self.open_number_by_key[message.idempotency_key] = message.number
+
+    def _start_attempt(self, record: AttemptStarted) -> None:
+        for number in record.numbers:
+            message = self.messages.get(number)
+            if message is None:
+                continue
+            # Both are derived from both attempts: read them before either is changed.
+            earlier = message.possibly_applied_at_s, message.possibly_applied_zone
+            message.earlier_attempt_at_s, message.earlier_attempt_zone = earlier
+            message.attempts += 1
+            message.latest_attempt_at_s = record.at_s
+            message.latest_attempt_zone = record.zone
+            if message.idempotency_key:
+                self._remember_key(
+                    message.idempotency_key, message.possibly_applied_at_s, message.possibly_applied_zone
+                )
+
+    def _revoke_attempt(self, record: AttemptNotApplied) -> None:
+        message = self.messages.get(record.number)
+        if message is None:
+            return
+        message.latest_attempt_at_s = 0.0
+        if message.idempotency_key and not message.earlier_attempt_at_s:
+            self.idempotency_keys.remove(message.idempotency_key)
+
+    def _complete(self, record: MessagesCompleted) -> None:
+        for number in record.numbers:
+            message = self.messages.pop(number, None)
+            if message is None:
+                continue
+            self.numbers_by_id.pop(message.id, None)
+            self._close(message)
+            self.open_bytes -= message.stored_bytes
+            self.finished_ids.add(message.id, record.at_s, message.deadline_s + FINISHED_ID_GRACE_S)
+
+    def _close(self, message: AcceptedMessage) -> None:
+        """Count the message as open no more; to be called before its final status is set."""
+        if message.final_status is not None:
+            return
+        self.open_count -= 1
+        # A newer message may have taken the key over.
+        if self.open_number_by_key.get(message.idempotency_key) == message.number:
+            del self.open_number_by_key[message.idempotency_key]
+
+    def _change_cordon(self, record: EndpointCordonChanged) -> None:
+        if record.cordoned:
+            self.cordoned[record.uid] = None
+        else:
+            self.cordoned.pop(record.uid, None)
+
+    def _restore_summary(self, record: JournalSummary) -> None:
+        self.last_number = record.last_number
+        for message_id, expires_at_s in record.finished_ids.items():
+            self.finished_ids.add(message_id, expires_at_s, expires_at_s)
+        for key, (at_s, zone) in record.idempotency_keys.items():
+            self._remember_key(key, at_s, zone)
+
+    def _remember_key(self, key: str, at_s: float, zone: int) -> None:
+        if not self.key_applied_at_s(key):
+            self.idempotency_keys.add(key, at_s, at_s + self._key_lifetime_s, zone)
--- /dev/null
+++ b/message_relay/server/journal/records.py
@@ -0,0 +1,290 @@
+"""The journal's records: their types, their stored form and their framing in the file.
+
+A record is stored as a MessagePack list whose first value names its type. Each list is framed by its length
+and its checksum. Lists written by older builds may have fewer values; they stay readable.
+"""
+
+from __future__ import annotations
+
+import enum
+import struct
+import zlib
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from typing import Any
+
+import msgpack
+
+FRAME_HEADER = struct.Struct(">II")  # payload length in bytes, CRC-32 of the payload
+RESERVED_BYTES_PER_MESSAGE = 160  # kept free for the message's later records
+UNKNOWN_ZONE = -1
+ZONE_POSITION = 3  # of the zone in a stored attempt; older builds did not store it
+
+ACCEPTED = "take"
+ATTEMPT_STARTED = "try"
+ATTEMPT_NOT_APPLIED = "miss"
+COMPLETED = "over"
+FINAL_OWED = "final"
+CORDON_CHANGED = "cordon"
+SUMMARY = "known"
+
+StoredValues = list[Any]  # a record as MessagePack packs it
+
+
+class FinalStatus(enum.Enum):
+    """The outcome that a final notice reports. The values are stored and sent."""
+
+    DEFERRED = "deferred"
+    UNDELIVERABLE = "undeliverable"
+
+
+@dataclass(slots=True)
+class AcceptedMessage:
+    """A message for which the relay still owes an outcome, or the notice of one.
+
+    The fields stand in the order of the file. Times are wall clock seconds, 0 if there is none.
+    """
+
+    number: int
+    id: str
+    message_class: int
+    tenant: int
+    destination: int
+    idempotency_key: str
+    deadline_s: float
+    resubmitted: bool
+    body: bytes
+    order_key: int = 0
+    attempts: int = 0
+    latest_attempt_at_s: float = 0.0  # its start; 0 once it is known that it was not applied
+    earlier_attempt_at_s: float = 0.0  # start of the first of the others that was possibly applied
+    final_status: FinalStatus | None = None  # of the notice that is owed
+    retry_after_ms: int = 0
+    latest_attempt_zone: int = UNKNOWN_ZONE
+    earlier_attempt_zone: int = UNKNOWN_ZONE
+
+    @property
+    def possibly_applied_at_s(self) -> float:
+        """Start of the first attempt that was possibly applied, 0 if there is none."""
+        return self.earlier_attempt_at_s or self.latest_attempt_at_s
+
+    @property
+    def possibly_applied_zone(self) -> int:
+        """Zone of the first attempt that was possibly applied, -1 if it is not known."""
+        return self.earlier_attempt_zone if self.earlier_attempt_at_s else self.latest_attempt_zone
+
+    @property
+    def stored_bytes(self) -> int:
+        """Upper bound of the bytes that the message takes in the file, its later records included."""
+        return len(self.body) + len(self.id) + len(self.idempotency_key) + RESERVED_BYTES_PER_MESSAGE
+
+    def to_stored(self) -> StoredValues:
+        """Return the values in the order of the file."""
+        return [
+            self.number,
+            self.id,
+            self.message_class,
+            self.tenant,
+            self.destination,
+            self.idempotency_key,
+            self.deadline_s,
+            self.resubmitted,
+            self.body,
+            self.order_key,
+            self.attempts,
+            self.latest_attempt_at_s,
+            self.earlier_attempt_at_s,
+            self.final_status.value if self.final_status is not None else "",
+            self.retry_after_ms,
+            self.latest_attempt_zone,
+            self.earlier_attempt_zone,
+        ]
+
+    @classmethod
+    def from_stored(cls, values: Sequence[Any]) -> AcceptedMessage:
+        """Build a message from stored values; those that an older build did not store get their defaults.
+
+        Raises `TypeError` for too few or too many values and `ValueError` for an unknown final status.
+        """
+        message = cls(*values)
+        status: Any = message.final_status  # still the stored text
+        message.final_status = FinalStatus(status) if status else None
+        return message
+
+
+@dataclass(frozen=True, slots=True)
+class MessageAccepted:
+    """The relay has accepted a message, or holds it at the time of a compaction."""
+
+    message: AcceptedMessage
+
+    def to_stored(self) -> StoredValues:
+        """Return the record's stored form."""
+        return [ACCEPTED, *self.message.to_stored()]
+
+    @classmethod
+    def from_stored(cls, values: StoredValues) -> MessageAccepted:
+        """Build the record from its stored form."""
+        return cls(AcceptedMessage.from_stored(values[1:]))
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptStarted:
+    """An attempt that carries these messages is about to be written to a connection."""
+
+    numbers: Sequence[int]
+    at_s: float
+    zone: int = UNKNOWN_ZONE
+
+    def to_stored(self) -> StoredValues:
+        """Return the record's stored form."""
+        return [ATTEMPT_STARTED, self.numbers, self.at_s, self.zone]
+
+    @classmethod
+    def from_stored(cls, values: StoredValues) -> AttemptStarted:
+        """Build the record from its stored form; older builds stored no zone."""
+        zone = values[ZONE_POSITION] if len(values) > ZONE_POSITION else UNKNOWN_ZONE
+        return cls(values[1], values[2], zone)
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptNotApplied:
+    """The message's latest attempt is known not to have been applied."""
+
+    number: int
+
+    def to_stored(self) -> StoredValues:
+        """Return the record's stored form."""
+        return [ATTEMPT_NOT_APPLIED, self.number]
+
+    @classmethod
+    def from_stored(cls, values: StoredValues) -> AttemptNotApplied:
+        """Build the record from its stored form."""
+        return cls(values[1])
+
+
+@dataclass(frozen=True, slots=True)
+class MessagesCompleted:
+    """Nothing more is owed for these messages."""
+
+    numbers: Sequence[int]
+    at_s: float
+
+    def to_stored(self) -> StoredValues:
+        """Return the record's stored form."""
+        return [COMPLETED, self.numbers, self.at_s]
+
+    @classmethod
+    def from_stored(cls, values: StoredValues) -> MessagesCompleted:
+        """Build the record from its stored form."""
+        return cls(values[1], values[2])
+
+
+@dataclass(frozen=True, slots=True)
+class FinalOwed:
+    """The message has its outcome, and the notice of it is owed."""
+
+    number: int
+    status: FinalStatus
+    retry_after_ms: int
+
+    def to_stored(self) -> StoredValues:
+        """Return the record's stored form."""
+        return [FINAL_OWED, self.number, self.status.value, self.retry_after_ms]
+
+    @classmethod
+    def from_stored(cls, values: StoredValues) -> FinalOwed:
+        """Build the record from its stored form; raises `ValueError` for an unknown status."""
+        return cls(values[1], FinalStatus(values[2]), values[3])
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointCordonChanged:
+    """Operators have cordoned an endpoint or lifted its cordon."""
+
+    uid: str
+    cordoned: bool
+
+    def to_stored(self) -> StoredValues:
+        """Return the record's stored form."""
+        return [CORDON_CHANGED, self.uid, self.cordoned]
+
+    @classmethod
+    def from_stored(cls, values: StoredValues) -> EndpointCordonChanged:
+        """Build the record from its stored form."""
+        return cls(values[1], values[2])
+
+
+@dataclass(frozen=True, slots=True)
+class JournalSummary:
+    """What a compacted file keeps of the messages that it does not hold any more."""
+
+    last_number: int
+    finished_ids: dict[str, float]  # when each id expires, wall clock seconds
+    idempotency_keys: dict[str, tuple[float, int]]  # start and zone of the attempt that possibly applied it
+
+    def to_stored(self) -> StoredValues:
+        """Return the record's stored form."""
+        return [SUMMARY, self.last_number, self.finished_ids, self.idempotency_keys]
+
+    @classmethod
+    def from_stored(cls, values: StoredValues) -> JournalSummary:
+        """Build the record from its stored form; older builds stored a key's time alone."""
+        keys: dict[str, tuple[float, int]] = {}
+        for key, stored in values[3].items():
+            if isinstance(stored, list):
+                at_s, zone = stored
+            else:
+                at_s, zone = stored, UNKNOWN_ZONE
+            keys[key] = at_s, zone
+        return cls(values[1], values[2], keys)
+
+
+JournalRecord = (
+    MessageAccepted
+    | AttemptStarted
+    | AttemptNotApplied
+    | MessagesCompleted
+    | FinalOwed
+    | EndpointCordonChanged
+    | JournalSummary
+)
+
+DECODERS: dict[str, Callable[[StoredValues], JournalRecord]] = {
+    ACCEPTED: MessageAccepted.from_stored,
+    ATTEMPT_STARTED: AttemptStarted.from_stored,
+    ATTEMPT_NOT_APPLIED: AttemptNotApplied.from_stored,
+    COMPLETED: MessagesCompleted.from_stored,
+    FINAL_OWED: FinalOwed.from_stored,
+    CORDON_CHANGED: EndpointCordonChanged.from_stored,
+    SUMMARY: JournalSummary.from_stored,
+}
+
+
+def decode_record(values: StoredValues) -> JournalRecord | None:
+    """Return the record that the stored values stand for, None for a type that this build does not know."""
+    decoder = DECODERS.get(values[0])
+    return decoder(values) if decoder is not None else None
+
+
+def encode_frame(values: StoredValues) -> bytes:
+    """Pack the values of one record and prefix them with their length and checksum."""
+    payload = msgpack.packb(values)
+    return bytes(FRAME_HEADER.pack(len(payload), zlib.crc32(payload)) + payload)
+
+
+def decode_frames(data: bytes) -> tuple[list[StoredValues], int]:
+    """Return the values of the complete records at the start of data, and the offset where they end.
+
+    Decoding stops at the first frame that is torn or whose checksum is wrong.
+    """
+    records: list[StoredValues] = []
+    offset = 0
+    while offset + FRAME_HEADER.size <= len(data):
+        size, checksum = FRAME_HEADER.unpack_from(data, offset)
+        payload = data[offset + FRAME_HEADER.size : offset + FRAME_HEADER.size + size]
+        if len(payload) != size or zlib.crc32(payload) != checksum or not size:
+            break
+        records.append(msgpack.unpackb(payload))
+        offset += FRAME_HEADER.size + size
+    return records, offset
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -20,7 +20,7 @@
 from message_relay.server.admin_console import Refused
 from message_relay.server.metrics import Counters
 from message_relay.server.discovery.endpoint_watch import Notices, Watch
-from message_relay.server.journal.journal import Held, Journal
+from message_relay.server.journal import AcceptedMessage, FinalStatus, Journal
 
 STATES = {
     "in_service": i.EndpointState.READY,
@@ -62,7 +62,7 @@
         self.dests: set[int] = set()  # that ever stood in a list: its endpoints may only be gone for now
         self.waits: dict[tuple[int, int], int] = {}  # told waits, by destination or route: when they end
         self.events: list[i.Event] = []
-        self.arrived: dict[int, tuple[Held, list[Reply]]] = {}  # not answered yet
+        self.arrived: dict[int, tuple[AcceptedMessage, list[Reply]]] = {}  # not answered yet
         self.arriving: dict[str, int] = {}  # their ids
         self.guards: dict[int, asyncio.TimerHandle] = {}
         self.attempts: dict[int, int] = {}  # numbers of the next attempts, as the decision module counts
@@ -127,12 +127,12 @@
         """Restore, take the first turn, then listen: a PING is answered from here on. Returns the port.
 
         given, fds and clients: from the process before, where there is one (see freeze)."""
-        self.numbers = self.journal.last
+        self.numbers = self.journal.last_number
         known = self._inherit(given) if given is not None else set()
         for uid in self.journal.cordoned:
             if uid in self.uids:
                 self.events.append(i.EndpointCordoned(self.uids[uid]))
-        for m in list(self.journal.held.values()):
+        for m in list(self.journal.messages.values()):
             self._restore(m, m.number in known)
         self.turn()
         fd = self.config.listen_fd
@@ -147,9 +147,9 @@
         self.started = True
         return port
 
-    def _restore(self, m: Held, known: bool) -> None:
-        if m.status:
-            self.notices.add(m.number, m.id, m.status, m.again_ms)
+    def _restore(self, m: AcceptedMessage, known: bool) -> None:
+        if m.final_status:
+            self.notices.add(m.number, m.id, m.final_status.value, m.retry_after_ms)
             return
         if not known:
             self.events.append(self._arrival(m, restored=True))
@@ -168,7 +168,7 @@
             self.waits[(destination, self.there.get(route, route))] = until
         brain = given["brain"]
         tries = brain["tries"]
-        self.attempts.update({n: t for n, t in tries.items() if n in self.journal.held})
+        self.attempts.update({n: t for n, t in tries.items() if n in self.journal.messages})
         for endpoint, items in given["calls"]:
             self.inherited.update({(n, attempt): self.there[endpoint] for n, attempt in items})
         self.events.append(i.StateImported(PolicySnapshot.from_wire(brain), self.there))
@@ -180,20 +180,20 @@
     def _mono(self, wall: float) -> int:
         return self.clock() + int((wall - time.time()) * 1e6)
 
-    def _arrival(self, m: Held, restored: bool = False) -> i.MessageSubmitted:
-        ran = m.may_have_run_at
+    def _arrival(self, m: AcceptedMessage, restored: bool = False) -> i.MessageSubmitted:
+        ran = m.possibly_applied_at_s
         return i.MessageSubmitted(
             m.number,
-            m.cls,
-            m.dest,
-            self._mono(m.until),
+            m.message_class,
+            m.destination,
+            self._mono(m.deadline_s),
             m.tenant,
-            m.order,
+            m.order_key,
             m.resubmitted,
             restored,
-            m.tries,
+            m.attempts,
             self._mono(ran) if ran else -1,
-            m.may_have_run_zone,
+            m.possibly_applied_zone,
         )
 
     # The turn
@@ -234,11 +234,13 @@
                 for reply in replies:
                     reply.send(b"-ERR internal error\r\n")
 
-    def _carry_out(self, actions: list[i.Action], arrived: dict[int, tuple[Held, list[Reply]]]) -> None:
+    def _carry_out(
+        self, actions: list[i.Action], arrived: dict[int, tuple[AcceptedMessage, list[Reply]]]
+    ) -> None:
         for a in actions:
             if isinstance(a, (i.RejectMessage, i.FailMessage)) and a.message in arrived:
                 m, replies = arrived.pop(a.message)
-                self._count_end(m.cls, isinstance(a, i.RejectMessage))
+                self._count_end(m.message_class, isinstance(a, i.RejectMessage))
                 for reply in replies:
                     reply.send(
                         refusal(a.retry_after_us) if isinstance(a, i.RejectMessage) else b"-ERR failed\r\n"
@@ -288,17 +290,17 @@
         if put.id in self.arriving:
             self.arrived[self.arriving[put.id]][1].append(reply)
             return
-        if put.id in self.journal.ids or put.id in self.journal.over:
+        if put.id in self.journal.numbers_by_id or put.id in self.journal.finished_ids:
             reply.send(b"+OK\r\n")  # handed in again on a new connection: it is, or was, taken care of
             return
         late = self.quiet_at and self.loop.time() > self.quiet_at + LATE_S
-        if late or self.journal.open + len(self.arrived) >= self.s.max_open_messages:
+        if late or self.journal.open_count + len(self.arrived) >= self.s.max_open_messages:
             self.counters.handed_back(cls)
             reply.send(refusal(self.policy.come_back_us()))
             return
         now = time.time()
         self.numbers += 1
-        m = Held(
+        m = AcceptedMessage(
             self.numbers,
             put.id,
             cls,
@@ -309,78 +311,81 @@
             put.resubmitted,
             put.body,
             put.order,
-            ran_at=self.journal.key_ran_at(put.key),
-            ran_zone=self.journal.keys.zone(put.key),
+            earlier_attempt_at_s=self.journal.key_applied_at_s(put.key),
+            earlier_attempt_zone=self.journal.key_applied_zone(put.key),
         )
         self._replace(m)
         self.arrived[m.number] = (m, [reply])
         self.arriving[m.id] = m.number
         self.tell(self._arrival(m))
 
-    def _replace(self, m: Held) -> None:
+    def _replace(self, m: AcceptedMessage) -> None:
         """A key that is still open here is handed in again only by a client that gave the older one up."""
-        old = self.journal.held.get(self.journal.open_keys.get(m.key, 0))
+        old = self.journal.messages.get(self.journal.open_number_by_key.get(m.idempotency_key, 0))
         if old is None:
             return
-        if not m.ran_at:
-            m.ran_at, m.ran_zone = old.may_have_run_at, old.may_have_run_zone
+        if not m.earlier_attempt_at_s:
+            m.earlier_attempt_at_s, m.earlier_attempt_zone = (
+                old.possibly_applied_at_s,
+                old.possibly_applied_zone,
+            )
         self.tell(i.MessageWithdrawn(old.number))
         last = self.attempts.get(old.number, 0) - 1
-        self._end(old, "deferred", 0)
+        self._end(old, FinalStatus.DEFERRED, 0)
         self.calls.cancel(old.number, last)
 
-    def _take(self, m: Held, replies: list[Reply]) -> None:
+    def _take(self, m: AcceptedMessage, replies: list[Reply]) -> None:
         text = b"+OK\r\n"
         if not any(r.wanted for r in replies):
             self.tell(i.MessageWithdrawn(m.number))  # nobody heard that it was taken on
             return
         try:
-            self.journal.take(m)
+            self.journal.accept(m)
         except OSError as error:
             log.error("not taken on: %s", error)
             text = refusal(self.policy.come_back_us())
-            self.counters.handed_back(m.cls)
+            self.counters.handed_back(m.message_class)
             self.tell(i.MessageWithdrawn(m.number))
         else:
             self._guard(m)
         for reply in replies:
             reply.send(text)
 
-    def _guard(self, m: Held) -> None:
-        delay = max(0.0, m.until + OVERDUE_S - time.time())
+    def _guard(self, m: AcceptedMessage) -> None:
+        delay = max(0.0, m.deadline_s + OVERDUE_S - time.time())
         self.guards[m.number] = self.loop.call_later(delay, self._overdue, m.number)
 
     def _overdue(self, number: int) -> None:
-        m = self.journal.held.get(number)
+        m = self.journal.messages.get(number)
         if self.frozen:
             self.guards[number] = self.loop.call_later(OVERDUE_S, self._overdue, number)
-        elif m and not m.status:
+        elif m and not m.final_status:
             log.error("message %s was overdue", m.id)
             self.tell(i.MessageWithdrawn(number))
-            self._end(m, "undeliverable", 0)
+            self._end(m, FinalStatus.UNDELIVERABLE, 0)
 
     # Ends
 
     def _final(self, a: i.RejectMessage | i.FailMessage) -> None:
-        m = self.journal.held.get(a.message)
-        if m is None or m.status:
+        m = self.journal.messages.get(a.message)
+        if m is None or m.final_status:
             return
         if isinstance(a, i.RejectMessage):
-            self._end(m, "deferred", -(-a.retry_after_us // 1000))
+            self._end(m, FinalStatus.DEFERRED, -(-a.retry_after_us // 1000))
         else:
-            self._end(m, "undeliverable", 0)
+            self._end(m, FinalStatus.UNDELIVERABLE, 0)
 
-    def _end(self, m: Held, status: str, again_ms: int) -> None:
+    def _end(self, m: AcceptedMessage, status: FinalStatus, again_ms: int) -> None:
         """Owe the notice, then send it."""
-        self._count_end(m.cls, status == "deferred")
+        self._count_end(m.message_class, status is FinalStatus.DEFERRED)
         try:
-            self.journal.final(m.number, status, again_ms)
+            self.journal.record_final(m.number, status, again_ms)
         except OSError as error:  # sent all the same: to end it once more after a restart does no harm
             log.error("journal: %s", error)
-            self.journal.end(m, status, again_ms)
+            self.journal.mark_final(m, status, again_ms)
         self._unguard(m.number)
         self.attempts.pop(m.number, None)
-        self.notices.add(m.number, m.id, status, again_ms)
+        self.notices.add(m.number, m.id, status.value, again_ms)
 
     def _count_end(self, cls: int, handed_back: bool) -> None:
         if handed_back:
@@ -396,7 +401,7 @@
         if self.frozen:
             self.relayed.append((self._accepted, (numbers,)))
             return
-        self._note(self.journal.told, numbers)
+        self._note(self.journal.record_completed, numbers)
         self._maybe_exit()
 
     def _note(self, write: Any, *args: Any) -> None:
@@ -413,10 +418,10 @@
         return self.s.kinds[min(entry.kind, len(self.s.kinds) - 1)].max_batch_size if entry else 1
 
     def _send(self, a: i.SendAttempt, bundles: dict[int, list[Item]]) -> None:
-        m = self.journal.held.get(a.message)
-        attempt = self.attempts.get(a.message, m.tries if m else 0)
+        m = self.journal.messages.get(a.message)
+        attempt = self.attempts.get(a.message, m.attempts if m else 0)
         self.attempts[a.message] = attempt + 1
-        if m is None or m.status:
+        if m is None or m.final_status:
             self.tell(
                 i.AttemptEnded(a.message, attempt, a.endpoint, i.AttemptResult.NOT_ATTEMPTED, 0, m is None)
             )
@@ -426,7 +431,7 @@
             m.number,
             attempt,
             m.id,
-            m.key,
+            m.idempotency_key,
             m.body,
             a.timeout_us,
             a.new_connection_timeout_us,
@@ -441,12 +446,14 @@
     def _call(self, endpoint: int, items: list[Item]) -> None:
         # A bundle is one call, waited for as long as its first message: led by one whose time is up sooner,
         # it counts as given up while the others are still waited for.
-        items = sorted(items, key=lambda item: -self.journal.held[item.number].until)
+        items = sorted(items, key=lambda item: -self.journal.messages[item.number].deadline_s)
         longest = max(item.timeout_us for item in items)
         fresh = max(item.fresh_timeout_us for item in items)
         for item in items:
             left = (
-                self._mono(self.journal.held[item.number].until) - self.clock() - 2 * self.s.turn_interval_us
+                self._mono(self.journal.messages[item.number].deadline_s)
+                - self.clock()
+                - 2 * self.s.turn_interval_us
             )
             item.timeout_us = max(item.timeout_us, min(longest, left))
             item.fresh_timeout_us = max(item.fresh_timeout_us, min(fresh, left))
@@ -487,10 +494,10 @@
         return ready and self.waits.get(self._wait_key(endpoint), 0) <= self.clock()
 
     def _begin(self, items: list[Item]) -> bool:
-        if any(n.number not in self.journal.held or self._repeats_late(n.number) for n in items):
+        if any(n.number not in self.journal.messages or self._repeats_late(n.number) for n in items):
             return False
         try:
-            self.journal.attempt([n.number for n in items], time.time(), items[0].zone)
+            self.journal.record_attempt([n.number for n in items], time.time(), items[0].zone)
         except OSError as error:
             log.error("journal: %s", error)
             return False
@@ -498,21 +505,21 @@
 
     def _repeats_late(self, number: int) -> bool:
         """Its connection came up so late that its key may be known no more."""
-        m = self.journal.held[number]
-        cls = self.s.classes[m.cls]
-        ran = m.may_have_run_at if cls.idempotency is i.Idempotency.KEYED else 0.0
+        m = self.journal.messages[number]
+        cls = self.s.classes[m.message_class]
+        ran = m.possibly_applied_at_s if cls.idempotency is i.Idempotency.KEYED else 0.0
         return bool(ran) and time.time() >= ran + (cls.key_window_us - self.policy.state.margin_us) / 1e6
 
     def _ended(self, item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
-        m = self.journal.held.get(item.number)
+        m = self.journal.messages.get(item.number)
         over = outcome.over or m is None
-        if m and not m.status and outcome.result is i.AttemptResult.OK:
-            self.counters.delivered(m.cls)
+        if m and not m.final_status and outcome.result is i.AttemptResult.OK:
+            self.counters.delivered(m.message_class)
         if outcome.over and m:
-            self._note(self.journal.done, m.number)
+            self._note(self.journal.record_completed, [m.number])
             self._unguard(m.number)
         elif m and item.begun and outcome.result in UNRUN:
-            self._note(self.journal.missed, m.number)
+            self._note(self.journal.record_not_applied, m.number)
         if over:
             self.attempts.pop(item.number, None)
         self.tell(
@@ -686,8 +693,7 @@
         for guard in self.guards.values():
             guard.cancel()
         self.guards.clear()
-        self.journal.held.clear()
-        self.journal.open = 0
+        self.journal.forget_messages()
         self.watch.stop()
         self.notices.stop()
         self.clients.stop_listening()
@@ -757,7 +763,7 @@
     def figures(self) -> str:
         down = sum(1 for endpoint in self.policy.avoided_endpoints() if endpoint in self.entries)
         return self.counters.render(
-            {"inflight": self.journal.open, "hosts_listed": len(self.entries), "hosts_down": down}
+            {"inflight": self.journal.open_count, "hosts_listed": len(self.entries), "hosts_down": down}
         )
 
     def _operable(self) -> None:
@@ -784,7 +790,7 @@
     def _cordon(self, uid: str, on: bool) -> None:
         """Recorded before it is told: what was said to an operator outlasts the process."""
         try:
-            self.journal.cordon(uid, on)
+            self.journal.record_cordon(uid, on)
         except OSError as error:
             raise Refused(f"can't be recorded: {error}") from None
         log.info("endpoint %s is %s", uid, "cordoned" if on else "put back")
@@ -846,7 +852,7 @@
 
     def _maybe_exit(self) -> None:
         # What still waits for its turn may be sent until the last call must have begun.
-        done = not self.calls.out and not self.journal.held and not self.events and not self.arrived
+        done = not self.calls.out and not self.journal.messages and not self.events and not self.arrived
         if self.closing_at and done and not self.clients.clients and not self.clients.listening:
             self._exit()
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -52,7 +52,7 @@
         client = await Client().open(fleet.port_of_host())
         assert (await client.send(request)).startswith("-ERR"), name
         assert await client.send(c(b"PING")) == "+PONG", name
-    assert not fleet.host.journal.held and not fleet.host.journal.over
+    assert not fleet.host.journal.messages and not fleet.host.journal.finished_ids
 
 
 @courier
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -60,7 +60,7 @@
     fleet.host._exit()
     fleet.host.close()
     assert [await x.line() for x in (raw, long, half)] == ["+OK", "+OK", ""]
-    assert set(fleet.host.journal.ids) == {"m", "l"}  # a restart goes on with them
+    assert set(fleet.host.journal.numbers_by_id) == {"m", "l"}  # a restart goes on with them
 
 
 @courier
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -58,7 +58,7 @@
 
 
 async def all_done(fleet):
-    while fleet.host.journal.held:
+    while fleet.host.journal.messages:
         await asyncio.sleep(0.01)
 
 
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -129,7 +129,7 @@
     while not begun:
         await asyncio.sleep(0.001)
     await asyncio.sleep(0.1)
-    assert a.calls.empty() and host.journal.open == 1
+    assert a.calls.empty() and host.journal.open_count == 1
     host.uncordon("a")
     assert (await a.call())[1]["x-request-id"] == "m"
 
@@ -138,8 +138,8 @@
 async def test_what_cannot_be_recorded_is_not_promised(fleet):
     e = await fleet.endpoint("a", answer(200))
     client = await fleet.inside()
-    fleet.host.journal.limit = 0
+    fleet.host.journal.limit_bytes = 0
     assert (await fleet.ask("cordon a")).startswith("NAK can't be recorded")
-    fleet.host.journal.limit = 3_000_000
+    fleet.host.journal.limit_bytes = 3_000_000
     assert await client.put("m") == "+OK"
     await e.call()
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -105,7 +105,7 @@
     assert (await e.call())[0] == "/events/bundle"
     finals = [await fleet.discovery.final() for _ in range(2)]
     assert {f["id"]: f["status"] for f in finals} == {"b2": "undeliverable", "b3": "deferred"}
-    assert "b1" in fleet.host.journal.over
+    assert "b1" in fleet.host.journal.finished_ids
 
 
 @courier
@@ -124,7 +124,7 @@
     assert (await fleet.discovery.final())["id"] == "b1"  # its own time is up, and the call goes on
     rows = json.dumps([{"id": i, "state": "done"} for i in lives]).encode()
     e.writers.copy().pop().write(answer(200, rows))
-    while fleet.host.journal.held:
+    while fleet.host.journal.messages:
         await asyncio.sleep(0.01)
     assert fleet.discovery.finals.empty() and e.calls.empty()
 
@@ -193,7 +193,7 @@
     await client.put("u", kind="unsafe")
     for status in (500, 503, 204):
         assert await fleet.discovery.final(status) == {"id": "u", "status": "undeliverable"}
-    while fleet.host.journal.held:
+    while fleet.host.journal.messages:
         await asyncio.sleep(0.01)
 
 
@@ -204,7 +204,7 @@
     client.writer.write(client.message("m", kind="unsafe") * 2)
     assert [await client.line() for _ in range(2)] == ["+OK"] * 2
     await e.call()
-    while fleet.host.journal.held:
+    while fleet.host.journal.messages:
         await asyncio.sleep(0.01)
     assert await client.put("m", kind="unsafe") == "+OK"
     await client.put("n")
@@ -230,7 +230,7 @@
     assert "+OK" in answers and answers[-1].startswith("-BUSY ")
     files = (fleet.folder / "state").iterdir()
     assert sum(-(-f.stat().st_size // 512) * 512 for f in files) < 100_000
-    assert len(fleet.host.journal.held) == answers.count("+OK") < 10
+    assert len(fleet.host.journal.messages) == answers.count("+OK") < 10
     e = await fleet.endpoint("a")
     fleet.discovery.rev += 1
     fleet.discovery.drop()  # the watch is opened again and brings the endpoint: room comes free
@@ -248,7 +248,7 @@
         raise OSError(28, "No space left on device")
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("message_relay.server.journal.journal.os.write", fail)
+        patch.setattr("message_relay.server.journal.file.os.write", fail)
         assert (await client.put("m1")).startswith("-BUSY")
     assert await client.put("m2") == "+OK"
     assert (await e.call())[1]["x-request-id"] == "m2"  # m1 was refused, so it did not run
@@ -342,7 +342,7 @@
         await e.call()
     await client.put("m2", kind="keyed", key="k")
     assert (await e.call())[1]["idempotency-key"] == "k"  # inside the window
-    fleet.host.journal.keys.add("k", time.time() - 8.5, time.time() + 9)
+    fleet.host.journal.idempotency_keys.add("k", time.time() - 8.5, time.time() + 9)
     assert (await client.put("m3", kind="keyed", key="k")).startswith("-BUSY")
     assert e.calls.empty()
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -20,10 +20,10 @@
         "guards": len(host.guards),
         "attempts": len(host.attempts),
         "clients": len(host.clients.clients),
-        "held": len(journal.held),
-        "ids": len(journal.ids),
-        "open": journal.open,
-        "open keys": len(journal.open_keys),
+        "held": len(journal.messages),
+        "ids": len(journal.numbers_by_id),
+        "open": journal.open_count,
+        "open keys": len(journal.open_number_by_key),
         "pools": len(calls.pools),
         "out": len(calls.out),
         "idle": calls.idle - sum(len(p.idle) for p in calls.pools.values()),
@@ -53,7 +53,7 @@
         fleet.discovery.change(f"e{n}", state="in_service")
         fleet.discovery.change(f"e{n - 1}", state="terminated")
         del fleet.discovery.targets[f"e{n - 1}"]
-        while host.watch.rev != fleet.discovery.rev or host.journal.held or host.calls.out:
+        while host.watch.rev != fleet.discovery.rev or host.journal.messages or host.calls.out:
             await asyncio.sleep(0.002)
         if n in (10, 59):
             await asyncio.sleep(0.05)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -36,7 +36,7 @@
 from message_relay.server.configuration import load
 from message_relay.server.admin_console import Refused
 from message_relay.server.relay_server import Host
-from message_relay.server.journal.journal import Journal, Taken
+from message_relay.server.journal import Journal, JournalLockedError
 
 READY = EndpointState.READY
 
@@ -238,10 +238,10 @@
     assert await client.put("next", dest=8) == "+OK"  # on the connection that it had
     assert await half.send(Client.message("half", dest=8)[25:]) == "+OK"
     assert {(await e.call())[1]["x-request-id"] for _ in range(2)} == {"next", "half"}
-    assert not old.closed.done() and new.journal.open >= 1  # the old one waits for its call
+    assert not old.closed.done() and new.journal.open_count >= 1  # the old one waits for its call
     g.open.set()
     await bounded(old.closed)
-    while new.journal.open:
+    while new.journal.open_count:
         await asyncio.sleep(0.001)
     assert new.counters.success[2] == 1 and g.calls.empty() and f.calls.empty()
     assert fleet.discovery.finals.empty() and "f" in new.journal.cordoned
@@ -276,13 +276,13 @@
         await asyncio.sleep(0.001)
     await asyncio.sleep(0.1)
     assert not starting.done() and new.not_ready() == "starting"
-    with pytest.raises(h.Taken):
+    with pytest.raises(JournalLockedError):
         new.journal.acquire()
     pair.predecessor.close()
     pair.old.close()
     await bounded(starting)
     pair.fleet.host = new
-    assert [m.id for m in new.journal.held.values()] == ["m"] and new.not_ready() == ""
+    assert [m.id for m in new.journal.messages.values()] == ["m"] and new.not_ready() == ""
     late = await Client().open(fleet.port_of_host())
     assert await late.put("late", dest=8) == "+OK"
     await e.call()
@@ -339,7 +339,7 @@
         await asyncio.sleep(0.001)
     stub.channel.close()
     await still_serves(fleet, pair, client, e, "c")
-    while pair.old.journal.open:
+    while pair.old.journal.open_count:
         await asyncio.sleep(0.001)
     assert pair.old.counters.success[0] == 4 and g.calls.empty()
     # It has the lock, but has not said so.
@@ -384,7 +384,7 @@
     await bounded(pair.old.closed)
     assert pair.old.retired and pair.old.not_ready() == "handed over"
     with pytest.raises(OSError):
-        pair.old.journal.cordon("x", True)
+        pair.old.journal.record_cordon("x", True)
     journal.close()
 
 
@@ -443,19 +443,19 @@
 
 def test_one_process_has_the_journal_and_another_cannot_write_behind_it(tmp_path):
     first = Journal(tmp_path, 1_000_000).acquire()
-    first.cordon("a", True)
+    first.record_cordon("a", True)
     second = Journal(tmp_path, 1_000_000)
-    with pytest.raises(Taken):
+    with pytest.raises(JournalLockedError):
         second.acquire()
     first.close()
     first.reacquire()  # nobody had it meanwhile
-    first.cordon("b", True)
+    first.record_cordon("b", True)
     first.close()
     second.acquire()
     assert list(second.cordoned) == ["a", "b"]
-    second.cordon("c", True)
+    second.record_cordon("c", True)
     second.close()
-    with pytest.raises(Taken):
+    with pytest.raises(JournalLockedError):
         first.reacquire()
     third = Journal(tmp_path, 1_000_000).acquire()  # and the lock was let go of
     assert list(third.cordoned) == ["a", "b", "c"]
@@ -524,7 +524,7 @@
     monkeypatch.setattr(fcntl, "flock", refuse)
     journal = Journal(tmp_path, 1_000_000, 5.0)
     journal.acquire()
-    assert journal.held == {} and "no locks here" in caplog.text
+    assert journal.messages == {} and "no locks here" in caplog.text
     journal.close()
 
 
--- /dev/null
+++ b/tests/test_journal.py
@@ -0,0 +1,103 @@
+"""The journal: restoring, compaction, expiry and the disk limit."""
+
+import contextlib
+import time
+
+from message_relay.server.journal import AcceptedMessage, Journal, JournalFullError
+from message_relay.server.journal.records import MessageAccepted, encode_frame
+
+
+def test_a_journal_that_tells_no_zone_is_read(tmp_path):
+    message = AcceptedMessage(1, "m", 1, 0, 7, "k", time.time() + 9, False, b"x")
+    (tmp_path / "messages.journal").write_bytes(
+        encode_frame(["known", 0, {}, {"old": time.time()}])
+        + encode_frame(MessageAccepted(message).to_stored()[:15])
+        + encode_frame(["try", [1], 5.0])
+    )
+    journal = Journal(tmp_path, 100_000, 9.0).acquire()
+    assert (journal.messages[1].possibly_applied_at_s, journal.messages[1].possibly_applied_zone) == (5.0, -1)
+    assert journal.key_applied_at_s("old") and journal.key_applied_zone("old") == -1
+    journal.close()
+
+
+def test_compaction_keeps_what_is_open_and_stays_under_the_limit(tmp_path):
+    limit = 60_000
+    journal = Journal(tmp_path, limit).acquire()
+    kept = AcceptedMessage(1, "keep", 0, 0, 7, "k", time.time() + 9, False, b"body")
+    journal.accept(kept)
+    journal.record_attempt([1], 123.0)
+    for n in range(2, 1500):
+        journal.accept(AcceptedMessage(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x" * 300))
+        journal.record_attempt([n], 1.0)
+        journal.record_not_applied(n)
+        journal.record_completed([n])
+        journal.finished_ids.expire(time.time() + 60)
+        assert sum(-(-f.stat().st_size // 512) * 512 for f in tmp_path.iterdir()) <= limit
+    journal.close()
+    again = Journal(tmp_path, limit).acquire()
+    assert (again.messages[1].id, again.messages[1].attempts, again.messages[1].possibly_applied_at_s) == (
+        "keep",
+        1,
+        123.0,
+    )
+    assert list(again.messages) == [1] and again.last_number == 1499
+    again.close()
+
+
+def test_a_record_with_a_wrong_checksum_ends_the_journal(tmp_path):
+    good = encode_frame(["known", 5, {}, {}])
+    path = tmp_path / "messages.journal"
+    path.write_bytes(good + good[:-1] + b"\xff" + good)
+    journal = Journal(tmp_path, 100_000).acquire()
+    assert journal.last_number == 5 and path.stat().st_size == len(good)
+    journal.close()
+
+
+def test_ids_and_keys_are_forgotten_when_their_time_is_up(tmp_path, monkeypatch):
+    # Kept for half a minute at 160 bytes each, twice, those of a few hundred messages a second filled the
+    # disk: everything was refused then, with a compaction for each try.
+    now = [1000.0]
+    monkeypatch.setattr("time.time", lambda: now[0])
+    journal = Journal(tmp_path, 1_000_000, key_window_s=12.0).acquire()
+    compactions = []
+    compact = journal.compact
+    monkeypatch.setattr(journal, "compact", lambda: (compactions.append(1), compact()))
+    for n in range(1, 12001):  # 300 a second for 40 s
+        now[0] += 1 / 300
+        journal.accept(AcceptedMessage(n, f"{n:016x}", 1, 0, 7, f"{n:016x}", now[0] + 12, False, b"x" * 200))
+        journal.record_attempt([n], now[0])
+        journal.record_completed([n])
+    assert (
+        14 * 300 <= len(journal.finished_ids) <= 16 * 300
+        and 14 * 300 <= len(journal.idempotency_keys) <= 16 * 300
+    )
+    assert len(compactions) < 60
+    assert f"{12000:016x}" in journal.finished_ids and journal.key_applied_at_s(f"{12000:016x}") == now[0]
+    now[0] += 30
+    journal.accept(AcceptedMessage(12001, "last", 1, 0, 7, "", now[0] + 12, False, b""))
+    assert not journal.finished_ids and not journal.idempotency_keys and journal.live_bytes < 2000
+    journal.close()
+
+
+def test_a_journal_near_its_limit_is_not_compacted_for_each_record(tmp_path, monkeypatch):
+    journal = Journal(tmp_path, 200_000).acquire()
+    accepted = 0
+    with contextlib.suppress(JournalFullError):
+        while True:
+            accepted += 1
+            journal.accept(
+                AcceptedMessage(accepted, f"m{accepted}", 0, 0, 7, "", time.time() + 9, False, b"x" * 300)
+            )
+    compactions = []
+    compact = journal.compact
+    monkeypatch.setattr(journal, "compact", lambda: (compactions.append(1), compact()))
+    for n in range(1, accepted):
+        journal.record_attempt([n], 1.0)
+        journal.record_not_applied(n)
+    with contextlib.suppress(JournalFullError):
+        for _ in range(100):
+            journal.accept(
+                AcceptedMessage(accepted + 9, "no", 0, 0, 7, "", time.time() + 9, False, b"x" * 300)
+            )
+    assert accepted > 100 and len(compactions) < 5
+    journal.close()
--- a/tests/test_quiesce.py
+++ b/tests/test_quiesce.py
@@ -87,7 +87,7 @@
     fleet.host.quiet_at -= h.LATE_S
     client = await Client().open(fleet.port_of_host())
     assert (await client.put("m")).startswith("-BUSY ")
-    assert fleet.host.journal.open == 0
+    assert fleet.host.journal.open_count == 0
     assert (await fleet.figures())['app_busy_total{tier="safe"}'] == 1
     fleet.host.terminate()
     assert (await fleet.ask("resume")).startswith("NAK ")
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -10,8 +10,6 @@
 
 from loopback import ROOT, Client, answer, bounded, courier
 
-from message_relay.server.journal.journal import Held, Journal, JournalFull, frame
-
 
 @courier
 async def test_what_was_taken_on_outlasts_sigkill(fleet):
@@ -80,17 +78,6 @@
     assert a.calls.empty()
 
 
-def test_a_journal_that_tells_no_zone_is_read(tmp_path):
-    m = Held(1, "m", 1, 0, 7, "k", time.time() + 9, False, b"x")
-    (tmp_path / "messages.journal").write_bytes(
-        frame(["known", 0, {}, {"old": time.time()}]) + frame(m.record()[:15]) + frame(["try", [1], 5.0])
-    )
-    journal = Journal(tmp_path, 100_000, 9.0).acquire()
-    assert (journal.held[1].may_have_run_at, journal.held[1].may_have_run_zone) == (5.0, -1)
-    assert journal.key_ran_at("old") and journal.keys.zone("old") == -1
-    journal.close()
-
-
 @courier
 async def test_what_has_ended_does_not_come_again(fleet):
     e = await fleet.endpoint("a", answer(200), answer(429))
@@ -188,35 +175,6 @@
     assert time.monotonic() - start < 3.7 and fleet.process.returncode == 0
 
 
-def test_compaction_keeps_what_is_open_and_stays_under_the_limit(tmp_path):
-    limit = 60_000
-    journal = Journal(tmp_path, limit).acquire()
-    keep = Held(1, "keep", 0, 0, 7, "k", time.time() + 9, False, b"body")
-    journal.take(keep)
-    journal.attempt([1], 123.0)
-    for n in range(2, 1500):
-        journal.take(Held(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x" * 300))
-        journal.attempt([n], 1.0)
-        journal.missed(n)
-        journal.done(n)
-        journal.over.expire(time.time() + 60)
-        assert sum(-(-f.stat().st_size // 512) * 512 for f in tmp_path.iterdir()) <= limit
-    journal.close()
-    again = Journal(tmp_path, limit).acquire()
-    assert (again.held[1].id, again.held[1].tries, again.held[1].may_have_run_at) == ("keep", 1, 123.0)
-    assert list(again.held) == [1] and again.last == 1499
-    again.close()
-
-
-def test_a_record_with_a_wrong_checksum_ends_the_journal(tmp_path):
-    good = frame(["known", 5, {}, {}])
-    path = tmp_path / "messages.journal"
-    path.write_bytes(good + good[:-1] + b"\xff" + good)
-    journal = Journal(tmp_path, 100_000).acquire()
-    assert journal.last == 5 and path.stat().st_size == len(good)
-    journal.close()
-
-
 @courier
 async def test_running_out_of_files_does_not_end_it(fleet):
     # More clients than descriptors: the longest unused are closed, the process and its calls go on.
@@ -241,46 +199,3 @@
     done = subprocess.run(command, env=env, cwd=ROOT, capture_output=True, text=True, timeout=20)
     assert done.returncode == 2 and done.stderr.startswith("message-relay: LB_CONFIG: ")
     assert done.stderr.count("\n") == 1
-
-
-def test_ids_and_keys_are_forgotten_when_their_time_is_up(tmp_path, monkeypatch):
-    # Kept for half a minute at 160 bytes each, twice, those of a few hundred messages a second filled the
-    # disk: everything was refused then, with a compaction for each try.
-    now = [1000.0]
-    monkeypatch.setattr("message_relay.server.journal.journal.time.time", lambda: now[0])
-    journal = Journal(tmp_path, 1_000_000, key_window_s=12.0).acquire()
-    compactions = []
-    compact = journal.compact
-    monkeypatch.setattr(journal, "compact", lambda: (compactions.append(1), compact()))
-    for n in range(1, 12001):  # 300 a second for 40 s
-        now[0] += 1 / 300
-        journal.take(Held(n, f"{n:016x}", 1, 0, 7, f"{n:016x}", now[0] + 12, False, b"x" * 200))
-        journal.attempt([n], now[0])
-        journal.done(n)
-    assert 14 * 300 <= len(journal.over) <= 16 * 300 and 14 * 300 <= len(journal.keys) <= 16 * 300
-    assert len(compactions) < 60
-    assert f"{12000:016x}" in journal.over and journal.key_ran_at(f"{12000:016x}") == now[0]
-    now[0] += 30
-    journal.take(Held(12001, "last", 1, 0, 7, "", now[0] + 12, False, b""))
-    assert not journal.over and not journal.keys and journal.live < 2000
-    journal.close()
-
-
-def test_a_journal_near_its_limit_is_not_compacted_for_each_record(tmp_path, monkeypatch):
-    journal = Journal(tmp_path, 200_000).acquire()
-    held = 0
-    with contextlib.suppress(JournalFull):
-        while True:
-            held += 1
-            journal.take(Held(held, f"m{held}", 0, 0, 7, "", time.time() + 9, False, b"x" * 300))
-    compactions = []
-    compact = journal.compact
-    monkeypatch.setattr(journal, "compact", lambda: (compactions.append(1), compact()))
-    for n in range(1, held):
-        journal.attempt([n], 1.0)
-        journal.missed(n)
-    with contextlib.suppress(JournalFull):
-        for _ in range(100):
-            journal.take(Held(held + 9, "no", 0, 0, 7, "", time.time() + 9, False, b"x" * 300))
-    assert held > 100 and len(compactions) < 5
-    journal.close()
--- a/tests/test_short_window.py
+++ b/tests/test_short_window.py
@@ -6,7 +6,7 @@
 import pytest
 from loopback import Fleet, bounded
 
-from message_relay.server.journal.journal import Held, Journal
+from message_relay.server.journal import AcceptedMessage, Journal
 
 WINDOW_S = 1.0
 KEYED = 1  # the class
@@ -26,8 +26,8 @@
         self.endpoint = await self.fleet.endpoint("a")
         journal = Journal(self.folder / "state", 3_000_000, WINDOW_S).acquire()
         self.began = time.time() - self.age
-        journal.take(Held(1, "m", KEYED, 0, 7, "k", self.began + 9, False, b"x"))
-        journal.attempt([1], self.began, self.zone)
+        journal.accept(AcceptedMessage(1, "m", KEYED, 0, 7, "k", self.began + 9, False, b"x"))
+        journal.record_attempt([1], self.began, self.zone)
         journal.close()
         self.client = await self.fleet.inside()
         return self
@@ -88,7 +88,9 @@
         async with Restarted(tmp_path, "all", 0.0) as restarted:
             await restarted.endpoint.call()
             host, now = restarted.fleet.host, time.time()
-            host.journal.held[2] = Held(2, "x", KEYED, 0, 7, "y", now + 9, False, b"x", ran_at=now)
+            host.journal.messages[2] = AcceptedMessage(
+                2, "x", KEYED, 0, 7, "y", now + 9, False, b"x", earlier_attempt_at_s=now
+            )
             monkeypatch.setattr(time, "time", lambda: now + WINDOW_S / 2)
             assert not host._repeats_late(2)
             monkeypatch.setattr(time, "time", lambda: now + WINDOW_S)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Data of the build e83b7b3: the journal, the frames of a hot restart and the policy's exported state."""
+"""Data of the build e83b7b3: the frames of a hot restart and the policy's exported state."""
 
 import asyncio
 import gzip
@@ -6,6 +6,7 @@
 import pathlib
 import socket
 import struct
+import time
 
 import msgpack
 import pytest
@@ -16,171 +17,11 @@
 from message_relay.policy.delivery_policy import DeliveryPolicy
 from message_relay.policy_snapshot import PolicySnapshot, capture
 from message_relay.server import hot_restart as h
-from message_relay.server.journal import journal as state
 from message_relay.server.configuration import load
 from message_relay.server.relay_server import Host
-from message_relay.server.journal.journal import Held, Journal
+from message_relay.server.journal import AcceptedMessage, Journal
 
 FIXTURES = pathlib.Path(__file__).parent / "fixtures"
-T = 1_800_000_000.0  # seconds; the clock of the process that wrote the journal
-
-
-@pytest.fixture
-def clock(monkeypatch):
-    now = [T]
-    monkeypatch.setattr(state.time, "time", lambda: now[0])
-    return now
-
-
-def restored(folder, name, limit=1_000_000):
-    (folder / "messages.journal").write_bytes((FIXTURES / name).read_bytes())
-    return Journal(folder, limit, 9.0).acquire()
-
-
-def test_a_journal_of_the_earlier_build_is_restored_field_by_field(tmp_path, clock):
-    journal = restored(tmp_path, "journal-e83b7b3.bin")
-    assert list(journal.held) == [3, 4, 5, 6, 7, 8, 9, 10, 11, 14]
-    m = journal.held
-    assert (m[3].id, m[3].cls, m[3].tenant, m[3].dest) == ("waiting", 0, 1, 3_000_000_000)
-    assert (m[3].key, m[3].until, m[3].resubmitted) == ("", T + 12.25, False)
-    assert (m[3].body, m[3].order) == (bytes(range(256)), 0xFFFF_FFFF_FFFF_FFFF)
-    assert (m[3].tries, m[3].may_have_run_at, m[3].may_have_run_zone, m[3].status) == (0, 0.0, -1, "")
-    assert (m[4].cls, m[4].key, m[4].resubmitted, m[4].body) == (1, "key-attempted", True, b"body")
-    attempts = {n: (x.tries, x.trying_at, x.trying_zone, x.ran_at, x.ran_zone) for n, x in m.items()}
-    assert attempts == {
-        3: (0, 0.0, -1, 0.0, -1),
-        4: (1, T + 0.25, 1, 0.0, -1),
-        5: (2, T + 1.0, 0, T + 0.25, 1),
-        6: (1, 0.0, 1, 0.0, -1),
-        7: (2, 0.0, 0, T + 0.5, 1),
-        8: (1, T + 1.0, 2, 0.0, -1),
-        9: (1, T + 1.0, 2, 0.0, -1),
-        10: (1, T + 1.0, 0, 0.0, -1),
-        11: (0, 0.0, -1, 0.0, -1),
-        14: (0, 0.0, -1, T - 3.0, 2),
-    }
-    ran = {n: (x.may_have_run_at, x.may_have_run_zone) for n, x in m.items() if x.may_have_run_at}
-    assert ran == {
-        4: (T + 0.25, 1),
-        5: (T + 0.25, 1),
-        7: (T + 0.5, 1),
-        8: (T + 1.0, 2),
-        9: (T + 1.0, 2),
-        10: (T + 1.0, 0),
-        14: (T - 3.0, 2),
-    }
-    assert (m[10].status, m[10].again_ms, m[10].body) == ("deferred", 1500, b"")
-    assert (m[11].status, m[11].again_ms) == ("undeliverable", 0)
-    assert [n for n, x in m.items() if x.status] == [10, 11]
-    assert journal.ids == {x.id: n for n, x in m.items()}
-    assert (journal.open, journal.last, journal.open_bytes) == (8, 15, 2031)
-    assert journal.open_keys == {"key-attempted": 4, "key-twice": 5, "key-missed": 6, "key-known": 14}
-    assert list(journal.cordoned) == ["host-b", "host-c"]
-    assert {x: journal.over.known[x][2] for x in journal.over.known} == {
-        "done-early": T + 7.0,
-        "zone-unknown": T + 62.0,
-        "told-a": T + 32.0,
-        "told-b": T + 33.0,
-        "delivered": T + 42.0,
-    }
-    assert journal.keys.known == {
-        "key-done": (T - 1.5, 2, T + 9.5),
-        "key-nozone": (T - 0.5, -1, T + 10.5),
-        "key-attempted": (T + 0.25, 1, T + 11.25),
-        "key-twice": (T + 0.25, 1, T + 11.25),
-        "key-owed": (T + 1.0, 0, T + 12.0),
-    }
-    whole = (FIXTURES / "journal-e83b7b3.bin").read_bytes()
-    assert (tmp_path / "messages.journal").read_bytes() == whole[:1860]  # the torn tail is cut off
-    journal.close()
-
-
-def test_a_journal_of_the_earlier_build_is_compacted_byte_for_byte(tmp_path, clock):
-    journal = restored(tmp_path, "journal-e83b7b3.bin")
-    clock[0] = T + 2
-    journal.compact()
-    journal.close()
-    compacted = (tmp_path / "messages.journal").read_bytes()
-    assert compacted == (FIXTURES / "journal-e83b7b3-compacted.bin").read_bytes()
-
-
-def test_records_of_still_older_builds_are_read(tmp_path, clock):
-    journal = restored(tmp_path, "journal-older.bin")
-    m = journal.held[1]
-    assert (m.id, m.key, m.until, m.body) == ("old-take", "key-old", T + 60, b"body")
-    assert (m.tries, m.may_have_run_at, m.may_have_run_zone) == (1, T + 0.5, -1)
-    assert journal.keys.known == {"key-plain": (T - 1.0, -1, T + 10.0), "key-old": (T + 0.5, -1, T + 11.5)}
-    assert "old-id" in journal.over
-    journal.close()
-
-
-def message(number, ident, key="", cls=0, body=b"body", **more):
-    given = {"tenant": 0, "dest": 7, "until": T + 60, "resubmitted": False, **more}
-    until = given.pop("until")
-    return Held(
-        number,
-        ident,
-        cls,
-        given.pop("tenant"),
-        given.pop("dest"),
-        key,
-        until,
-        given.pop("resubmitted"),
-        body,
-        **given,
-    )
-
-
-def test_records_are_written_byte_for_byte(tmp_path, clock):
-    j = Journal(tmp_path, 1_000_000, 9.0).acquire()
-    j.take(message(1, "done-early", "key-done", cls=1, until=T + 5))
-    j.attempt([1], T - 1.5, 2)
-    j.done(1)
-    j.take(message(2, "zone-unknown", "key-nozone", cls=1))
-    j.attempt([2], T - 0.5)
-    j.done(2)
-    j.cordon("host-a", True)
-    j.cordon("host-b", True)
-    j.compact()
-    everything = bytes(range(256))
-    j.take(
-        message(3, "waiting", body=everything, tenant=1, dest=3_000_000_000, order=2**64 - 1, until=T + 12.25)
-    )
-    j.take(message(4, "attempted", "key-attempted", cls=1, resubmitted=True))
-    j.attempt([4], T + 0.25, 1)
-    j.take(message(5, "twice", "key-twice", cls=1))
-    j.attempt([5], T + 0.25, 1)
-    clock[0] = T + 1
-    j.attempt([5], T + 1.0, 0)
-    j.take(message(6, "missed", "key-missed", cls=1))
-    j.attempt([6], T + 1.0, 1)
-    j.missed(6)
-    j.take(message(7, "missed-second"))
-    j.attempt([7], T + 0.5, 1)
-    j.attempt([7], T + 1.0, 0)
-    j.missed(7)
-    j.take(message(8, "batched-a"))
-    j.take(message(9, "batched-b"))
-    j.attempt([8, 9], T + 1.0, 2)
-    j.take(message(10, "owed-deferred", "key-owed", cls=1))
-    j.attempt([10], T + 1.0, 0)
-    j.final(10, "deferred", 1500)
-    j.take(message(11, "owed-undeliverable"))
-    j.final(11, "undeliverable", 0)
-    j.take(message(12, "told-a", until=T + 30))
-    j.final(12, "deferred", 0)
-    j.take(message(13, "told-b", until=T + 31))
-    j.final(13, "undeliverable", 0)
-    j.told([12, 13])
-    j.take(message(14, "known-key", "key-known", cls=1, ran_at=T - 3.0, ran_zone=2))
-    j.take(message(15, "delivered", until=T + 40))
-    j.attempt([15], T + 1.0, 0)
-    j.done(15)
-    j.cordon("host-a", False)
-    j.cordon("host-c", True)
-    j.close()
-    expected = (FIXTURES / "journal-e83b7b3.bin").read_bytes()[:1860]
-    assert (tmp_path / "messages.journal").read_bytes() == expected
 
 
 # The policy: the same actions on the same days, and the same state to hand on.
@@ -389,9 +230,9 @@
         (4, "waiting", 1, 8, "k8"),
         (5, "batch-out", 0, 9, ""),
     ):
-        journal.take(Held(number, ident, cls, 0, dest, key, now + 60, False, b"hello"))
-    journal.attempt([3], now, 0)
-    journal.attempt([5], now, 0)
+        journal.accept(AcceptedMessage(number, ident, cls, 0, dest, key, now + 60, False, b"hello"))
+    journal.record_attempt([3], now, 0)
+    journal.record_attempt([5], now, 0)
     return journal
 
 
@@ -405,9 +246,7 @@
             fleet.discovery.targets = {target["uid"]: target for target in given["targets"]}
             monkeypatch.setattr(Host, "clock", lambda self: 342_400_000)
             loop, path = asyncio.get_running_loop(), tmp_path / "restart.sock"
-            earlier = EarlierProcess(
-                path, journal_of_the_earlier_process(tmp_path / "state", state.time.time())
-            )
+            earlier = EarlierProcess(path, journal_of_the_earlier_process(tmp_path / "state", time.time()))
             playing = asyncio.ensure_future(earlier.play())
             fleet.host = new = Host(loop, load(fleet.env()))
             new.warm()
@@ -440,9 +279,9 @@
             assert await bounded(loop.sock_recv(earlier.clients[1], 100)) == b"+OK\r\n"
             for report in earlier.reports:
                 earlier.channel.send(report)
-            while new.journal.open > 2 or policy.in_flight:
+            while new.journal.open_count > 2 or policy.in_flight:
                 await asyncio.sleep(0.001)
-            assert [m.id for m in new.journal.held.values()] == ["waiting", "half"]
+            assert [m.id for m in new.journal.messages.values()] == ["waiting", "half"]
             assert new.counters.success == [1, 0, 1]
             earlier.close()
 
@@ -459,9 +298,7 @@
             fleet.discovery.targets = {target["uid"]: target for target in given["targets"]}
             monkeypatch.setattr(Host, "clock", lambda self: 342_400_000)
             loop, path = asyncio.get_running_loop(), tmp_path / "restart.sock"
-            earlier = EarlierProcess(
-                path, journal_of_the_earlier_process(tmp_path / "state", state.time.time())
-            )
+            earlier = EarlierProcess(path, journal_of_the_earlier_process(tmp_path / "state", time.time()))
             playing = asyncio.ensure_future(earlier.play())
             fleet.host = new = Host(loop, load(fleet.env()))
             new.watch.open = lambda: None  # a later list would bring the ports of this test
