--- a/message_relay/__main__.py
+++ b/message_relay/__main__.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from message_relay.server.configuration import Config, ConfigError, load
-from message_relay.server.admin_console import Console
+from message_relay.server.admin_console import AdminConsole
 from message_relay.server.hot_restart import Predecessor, socket_path, take_over
 from message_relay.server.relay_server import Host
 from message_relay.server.reload import Reloader
@@ -35,8 +35,8 @@
 async def serve(config: Config) -> None:
     loop = asyncio.get_running_loop()
     host = Host(loop, config)
-    console = Console(host)
-    reloader = Reloader(loop, os.environ, host.move, host.counters.reconfigured)
+    console = AdminConsole(host)
+    reloader = Reloader(loop, os.environ, host.move, host.counters.record_reload)
     loop.add_signal_handler(signal.SIGHUP, reloader.hup)  # unhandled it would end the process
     loop.add_signal_handler(signal.SIGTERM, host.terminate)
     loop.add_signal_handler(signal.SIGINT, host.terminate)
--- a/message_relay/server/metrics.py
+++ b/message_relay/server/metrics.py
@@ -1,58 +1,83 @@
-"""The figures that operators read: counted where each event happens, from the process's start on."""
+"""The metrics that operators read: counted where each event happens, from the start of the process on."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
+from dataclasses import dataclass
 
-PREFIX, CLASS = "app_", "tier"
+NAME_PREFIX = "app_"
+CLASS_LABEL = "tier"
 
 
-def escape(value: str) -> str:
-    """A label's value, as the exposition format has it."""
+def escape_label_value(value: str) -> str:
+    """Escape a label's value as the Prometheus exposition format requires."""
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
-class Counters:
-    """The one owner of what is counted."""
+@dataclass(frozen=True, slots=True)
+class Gauges:
+    """Figures that are true at the moment of reading."""
 
-    def __init__(self, classes: Sequence[str]) -> None:
-        self.classes = classes
-        self.success, self.busy, self.failure = ([0] * len(classes) for _ in range(3))
-        self.calls = self.reconfig_ok = self.reconfig_failed = 0
+    open_messages: int
+    endpoints_listed: int
+    endpoints_avoided: int
 
-    def delivered(self, cls: int) -> None:
-        self.success[cls] += 1
 
-    def handed_back(self, cls: int) -> None:
-        """Refused, or ended with leave to come again."""
-        self.busy[cls] += 1
+class Metrics:
+    """The counters of one process; messages are counted by the index of their class."""
 
-    def failed(self, cls: int) -> None:
-        self.failure[cls] += 1
+    def __init__(self, class_names: Sequence[str]) -> None:
+        self.class_names = class_names
+        self.delivered = [0] * len(class_names)
+        self.rejected = [0] * len(class_names)
+        self.failed = [0] * len(class_names)
+        self.attempts_written = 0
+        self.reloads_succeeded = 0
+        self.reloads_failed = 0
 
-    def written(self, messages: int) -> None:
-        """The last byte of a call with so many messages was written."""
-        self.calls += messages
+    def record_delivered(self, message_class: int) -> None:
+        """Count a message that an endpoint has accepted."""
+        self.delivered[message_class] += 1
 
-    def reconfigured(self, ok: bool) -> None:
-        if ok:
-            self.reconfig_ok += 1
+    def record_rejected(self, message_class: int) -> None:
+        """Count a message that was rejected, or that ended with leave to be submitted again."""
+        self.rejected[message_class] += 1
+
+    def record_failed(self, message_class: int) -> None:
+        """Count a message that ended undelivered."""
+        self.failed[message_class] += 1
+
+    def record_attempts_written(self, count: int) -> None:
+        """Count a call with `count` messages, once its last byte was written."""
+        self.attempts_written += count
+
+    def record_reload(self, succeeded: bool) -> None:
+        """Count a reload of the configuration."""
+        if succeeded:
+            self.reloads_succeeded += 1
         else:
-            self.reconfig_failed += 1
-
-    def render(self, gauges: dict[str, int]) -> str:
-        """A line for each figure, with these that are true at this moment."""
-        lines = []
-        for name, counts in (("success", self.success), ("busy", self.busy), ("failure", self.failure)):
-            lines += [
-                f'{PREFIX}{name}_total{{{CLASS}="{escape(cls)}"}} {count}'
-                for cls, count in zip(self.classes, counts, strict=True)
-            ]
-        plain = {
-            "backend_calls_total": self.calls,
-            **gauges,
-            "reconfig_ok_total": self.reconfig_ok,
-            "reconfig_failed_total": self.reconfig_failed,
+            self.reloads_failed += 1
+
+    def render(self, gauges: Gauges) -> str:
+        """Return the metrics as text, one a line."""
+        lines = [
+            *self._render_by_class("success", self.delivered),
+            *self._render_by_class("busy", self.rejected),
+            *self._render_by_class("failure", self.failed),
+        ]
+        values = {
+            "backend_calls_total": self.attempts_written,
+            "inflight": gauges.open_messages,
+            "hosts_listed": gauges.endpoints_listed,
+            "hosts_down": gauges.endpoints_avoided,
+            "reconfig_ok_total": self.reloads_succeeded,
+            "reconfig_failed_total": self.reloads_failed,
         }
-        lines += [f"{PREFIX}{name} {value}" for name, value in plain.items()]
+        lines += [f"{NAME_PREFIX}{name} {value}" for name, value in values.items()]
         return "".join(f"{line}\n" for line in lines)
+
+    def _render_by_class(self, name: str, counts: list[int]) -> list[str]:
+        return [
+            f'{NAME_PREFIX}{name}_total{{{CLASS_LABEL}="{escape_label_value(class_name)}"}} {count}'
+            for class_name, count in zip(self.class_names, counts, strict=True)
+        ]
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -15,10 +15,13 @@
 from message_relay.policy.delivery_policy import DeliveryPolicy
 from message_relay.policy_snapshot import PolicySnapshot, capture
 from message_relay.server.endpoint_calls.client import Calls, Hooks, Item, Outcome
-from message_relay.server.resp.server import BadRequest, Client, ClientServer, Put, Reply
+from message_relay.server.resp import replies as r
+from message_relay.server.resp.commands import InvalidRequestError, SubmitRequest
+from message_relay.server.resp.connection import ClientConnection, ReplyHandle
+from message_relay.server.resp.server import ClientServer
 from message_relay.server.configuration import Address, Config, ConfigError, parse_address
-from message_relay.server.admin_console import Refused
-from message_relay.server.metrics import Counters
+from message_relay.server.admin_console import CommandRejectedError
+from message_relay.server.metrics import Gauges, Metrics
 from message_relay.server.discovery.endpoint_watch import Notices, Watch
 from message_relay.server.journal.journal import Held, Journal
 
@@ -62,7 +65,7 @@
         self.dests: set[int] = set()  # that ever stood in a list: its endpoints may only be gone for now
         self.waits: dict[tuple[int, int], int] = {}  # told waits, by destination or route: when they end
         self.events: list[i.Event] = []
-        self.arrived: dict[int, tuple[Held, list[Reply]]] = {}  # not answered yet
+        self.arrived: dict[int, tuple[Held, list[ReplyHandle]]] = {}  # not answered yet
         self.arriving: dict[str, int] = {}  # their ids
         self.guards: dict[int, asyncio.TimerHandle] = {}
         self.attempts: dict[int, int] = {}  # numbers of the next attempts, as the decision module counts
@@ -76,14 +79,14 @@
         self.there: dict[int, int] = {}  # its numbers of endpoints as they are here
         self.heard = asyncio.Event()  # a first word of discovery
         self.relayed: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
-        self.moving: list[Client] = []  # connections that go to the other process
+        self.moving: list[ClientConnection] = []  # connections that go to the other process
         self.handed_over: Callable[[], bool] = lambda: True  # whether all that was to be told has been
-        self.counters = Counters([c.name for c in self.s.classes])
+        self.counters = Metrics([c.name for c in self.s.classes])
         self.closed: asyncio.Future[None] = loop.create_future()
         self.raw: dict[int, dict[str, Any]] = {}  # the list's entries as they came
         self.hooks = Hooks(
             self._may_write,
-            self.counters.written,
+            self.counters.record_attempts_written,
             self._begin,
             self._ended,
             self._told_wait,
@@ -97,7 +100,7 @@
             self.s.connect_timeout_us,
             int(config.sockets * IDLE_SHARE),
         )
-        self.clients = ClientServer(self.put, max(8, int(config.sockets * CLIENT_SHARE)), self.not_ready)
+        self.clients = ClientServer(self.put, max(8, int(config.sockets * CLIENT_SHARE)), self.unready_reason)
         self.notices = Notices(loop, config.discovery, self._accepted)
         self.watch = Watch(loop, config.discovery, config.known["rev"], self.listed, self.s.instance_count)
 
@@ -232,17 +235,15 @@
             log.exception("actions failed")
             for _, replies in arrived.values():
                 for reply in replies:
-                    reply.send(b"-ERR internal error\r\n")
+                    reply.send(r.INTERNAL_ERROR)
 
-    def _carry_out(self, actions: list[i.Action], arrived: dict[int, tuple[Held, list[Reply]]]) -> None:
+    def _carry_out(self, actions: list[i.Action], arrived: dict[int, tuple[Held, list[ReplyHandle]]]) -> None:
         for a in actions:
             if isinstance(a, (i.RejectMessage, i.FailMessage)) and a.message in arrived:
                 m, replies = arrived.pop(a.message)
                 self._count_end(m.cls, isinstance(a, i.RejectMessage))
                 for reply in replies:
-                    reply.send(
-                        refusal(a.retry_after_us) if isinstance(a, i.RejectMessage) else b"-ERR failed\r\n"
-                    )
+                    reply.send(r.busy(a.retry_after_us) if isinstance(a, i.RejectMessage) else r.FAILED)
         for m, replies in arrived.values():
             self._take(m, replies)
         bundles: dict[int, list[Item]] = {}
@@ -268,49 +269,49 @@
 
     # Clients
 
-    def put(self, put: Put, reply: Reply) -> None:
+    def put(self, put: SubmitRequest, reply: ReplyHandle) -> None:
         """A message is handed in. It is answered in the turn that follows."""
-        cls = self.classes.get(put.cls)
+        cls = self.classes.get(put.class_name)
         if cls is None:
-            raise BadRequest("c: no such class")
-        tenant = self.tenants.get(put.tenant or "", -1) if self.tenants else 0
+            raise InvalidRequestError("c: no such class")
+        tenant = self.tenants.get(put.tenant_name or "", -1) if self.tenants else 0
         if tenant < 0:
-            raise BadRequest("t: no such tenant")
-        if self.s.classes[cls].idempotency is i.Idempotency.KEYED and not put.key:
-            raise BadRequest("k: lacks, and the class is keyed")
-        if put.life_ms * 1000 > LONGEST * self.s.classes[cls].deadline_us:
-            raise BadRequest("d: far over the deadline of the class")
-        if self.dests and put.dest not in self.dests:
-            raise BadRequest("dest: no such destination")
+            raise InvalidRequestError("t: no such tenant")
+        if self.s.classes[cls].idempotency is i.Idempotency.KEYED and not put.idempotency_key:
+            raise InvalidRequestError("k: lacks, and the class is keyed")
+        if put.lifetime_ms * 1000 > LONGEST * self.s.classes[cls].deadline_us:
+            raise InvalidRequestError("d: far over the deadline of the class")
+        if self.dests and put.destination not in self.dests:
+            raise InvalidRequestError("dest: no such destination")
         if self.frozen:
-            reply.send(refusal(self.policy.come_back_us()))
+            reply.send(r.busy(self.policy.come_back_us()))
             return
-        if put.id in self.arriving:
-            self.arrived[self.arriving[put.id]][1].append(reply)
+        if put.message_id in self.arriving:
+            self.arrived[self.arriving[put.message_id]][1].append(reply)
             return
-        if put.id in self.journal.ids or put.id in self.journal.over:
-            reply.send(b"+OK\r\n")  # handed in again on a new connection: it is, or was, taken care of
+        if put.message_id in self.journal.ids or put.message_id in self.journal.over:
+            reply.send(r.OK)  # handed in again on a new connection: it is, or was, taken care of
             return
         late = self.quiet_at and self.loop.time() > self.quiet_at + LATE_S
         if late or self.journal.open + len(self.arrived) >= self.s.max_open_messages:
-            self.counters.handed_back(cls)
-            reply.send(refusal(self.policy.come_back_us()))
+            self.counters.record_rejected(cls)
+            reply.send(r.busy(self.policy.come_back_us()))
             return
         now = time.time()
         self.numbers += 1
         m = Held(
             self.numbers,
-            put.id,
+            put.message_id,
             cls,
             tenant,
-            put.dest,
-            put.key,
-            now + put.life_ms / 1e3,
+            put.destination,
+            put.idempotency_key,
+            now + put.lifetime_ms / 1e3,
             put.resubmitted,
             put.body,
-            put.order,
-            ran_at=self.journal.key_ran_at(put.key),
-            ran_zone=self.journal.keys.zone(put.key),
+            put.order_key,
+            ran_at=self.journal.key_ran_at(put.idempotency_key),
+            ran_zone=self.journal.keys.zone(put.idempotency_key),
         )
         self._replace(m)
         self.arrived[m.number] = (m, [reply])
@@ -329,17 +330,17 @@
         self._end(old, "deferred", 0)
         self.calls.cancel(old.number, last)
 
-    def _take(self, m: Held, replies: list[Reply]) -> None:
-        text = b"+OK\r\n"
-        if not any(r.wanted for r in replies):
+    def _take(self, m: Held, replies: list[ReplyHandle]) -> None:
+        text = r.OK
+        if not any(reply.client_connected for reply in replies):
             self.tell(i.MessageWithdrawn(m.number))  # nobody heard that it was taken on
             return
         try:
             self.journal.take(m)
         except OSError as error:
             log.error("not taken on: %s", error)
-            text = refusal(self.policy.come_back_us())
-            self.counters.handed_back(m.cls)
+            text = r.busy(self.policy.come_back_us())
+            self.counters.record_rejected(m.cls)
             self.tell(i.MessageWithdrawn(m.number))
         else:
             self._guard(m)
@@ -384,9 +385,9 @@
 
     def _count_end(self, cls: int, handed_back: bool) -> None:
         if handed_back:
-            self.counters.handed_back(cls)
+            self.counters.record_rejected(cls)
         else:
-            self.counters.failed(cls)
+            self.counters.record_failed(cls)
 
     def _unguard(self, number: int) -> None:
         if guard := self.guards.pop(number, None):
@@ -507,7 +508,7 @@
         m = self.journal.held.get(item.number)
         over = outcome.over or m is None
         if m and not m.status and outcome.result is i.AttemptResult.OK:
-            self.counters.delivered(m.cls)
+            self.counters.record_delivered(m.cls)
         if outcome.over and m:
             self._note(self.journal.done, m.number)
             self._unguard(m.number)
@@ -605,7 +606,7 @@
 
         Returns what is known, the descriptors of the listening socket and of the clients that wait for no
         answer, and what was read from each of these. What comes of the calls out is told to `relay`."""
-        self.clients.hold()
+        self.clients.pause()
         self.events.append(
             i.ShutdownScheduled(self.clock())
         )  # what has come in is answered, but no call begins
@@ -615,7 +616,7 @@
         self.frozen = True
         self.relayed.clear()
         self.calls.hooks = self._relaying(relay)
-        self.moving = [c for c in self.clients.clients if c.portable]
+        self.moving = [c for c in self.clients.connections if c.transferable]
         brain = capture(self.policy.state).to_wire()
         given = {
             "brain": brain,
@@ -625,9 +626,9 @@
             "waits": [[*key, until] for key, until in self.waits.items()],
             "calls": [[endpoint, items] for endpoint, _, _, items in brain["calls"]],
         }
-        listening = [self.clients.sock] if self.clients.sock is not None else []
+        listening = [self.clients.listening_socket] if self.clients.listening_socket is not None else []
         fds = [sock.fileno() for sock in (*listening, *(c.sock for c in self.moving))]
-        states = [c.state() for c in self.moving]
+        states = [c.export_state() for c in self.moving]
         self.journal.close()
         return given, fds, states
 
@@ -662,7 +663,7 @@
 
         return Hooks(
             lambda endpoint: False,
-            self.counters.written,
+            self.counters.record_attempts_written,
             lambda items: False,
             ended,
             told_wait,
@@ -676,7 +677,7 @@
         self.calls.hooks = self.hooks
         for told, values in self.relayed:
             told(*values)
-        self.clients.go_on()
+        self.clients.resume()
         self.tell(i.ShutdownScheduled(math.inf))
 
     def retire(self) -> None:
@@ -696,9 +697,9 @@
         self._leave()
 
     def _leave(self) -> None:
-        for client in list(self.clients.clients):
-            client.finish()
-        if self.calls.out or self.clients.clients or not self.handed_over():
+        for client in list(self.clients.connections):
+            client.close_when_idle()
+        if self.calls.out or self.clients.connections or not self.handed_over():
             self.loop.call_later(CLOSE_S, self._leave)
         else:
             self._exit()
@@ -740,7 +741,7 @@
 
     # Operators
 
-    def not_ready(self) -> str:
+    def unready_reason(self) -> str:
         """Why this process is not to be sent clients, empty if it is."""
         if self.frozen:
             return "handed over" if self.retired else "handing over"
@@ -750,28 +751,26 @@
             return "quiesced"
         return "" if self.started else "starting"
 
-    def health(self) -> None:
-        if why := self.not_ready():
-            raise Refused(why)
+    def check_health(self) -> None:
+        if why := self.unready_reason():
+            raise CommandRejectedError(why)
 
-    def figures(self) -> str:
+    def render_metrics(self) -> str:
         down = sum(1 for endpoint in self.policy.avoided_endpoints() if endpoint in self.entries)
-        return self.counters.render(
-            {"inflight": self.journal.open, "hosts_listed": len(self.entries), "hosts_down": down}
-        )
+        return self.counters.render(Gauges(self.journal.open, len(self.entries), down))
 
     def _operable(self) -> None:
         if self.frozen or not self.started:
-            raise Refused(self.not_ready())
+            raise CommandRejectedError(self.unready_reason())
 
     def cordon(self, uid: str) -> None:
         self._operable()
         if uid in self.journal.cordoned:
             return
         if uid not in self.uids:
-            raise Refused("no such endpoint")
+            raise CommandRejectedError("no such endpoint")
         if len(self.journal.cordoned) >= MAX_CORDONS:
-            raise Refused("too many are cordoned")
+            raise CommandRejectedError("too many are cordoned")
         self._cordon(uid, True)
 
     def uncordon(self, uid: str) -> None:
@@ -779,14 +778,14 @@
         if uid in self.journal.cordoned:
             self._cordon(uid, False)
         elif uid not in self.uids:
-            raise Refused("no such endpoint")
+            raise CommandRejectedError("no such endpoint")
 
     def _cordon(self, uid: str, on: bool) -> None:
         """Recorded before it is told: what was said to an operator outlasts the process."""
         try:
             self.journal.cordon(uid, on)
         except OSError as error:
-            raise Refused(f"can't be recorded: {error}") from None
+            raise CommandRejectedError(f"can't be recorded: {error}") from None
         log.info("endpoint %s is %s", uid, "cordoned" if on else "put back")
         if (endpoint := self.uids.get(uid)) is not None:
             self.calls.close_idle(endpoint)
@@ -804,7 +803,7 @@
     def resume(self) -> None:
         self._operable()
         if self.closing_at:
-            raise Refused("ending")
+            raise CommandRejectedError("ending")
         if self.quiet_at:
             log.info("resumed")
         self.quiet_at = 0.0
@@ -813,7 +812,7 @@
 
     def _empty(self) -> None:
         """Close connections between requests, again and again while the courier is being emptied."""
-        self.clients.close_idle()
+        self.clients.close_idle_connections()
         self.emptying = self.loop.call_later(CLOSE_S, self._empty)
         self._maybe_exit()
 
@@ -840,20 +839,20 @@
         self.loop.call_later(LISTEN_S, self._stop_clients)
 
     def _stop_clients(self) -> None:
-        self.clients.take_up()
+        self.clients.accept_pending()
         self.clients.stop_listening()
         self._empty()
 
     def _maybe_exit(self) -> None:
         # What still waits for its turn may be sent until the last call must have begun.
         done = not self.calls.out and not self.journal.held and not self.events and not self.arrived
-        if self.closing_at and done and not self.clients.clients and not self.clients.listening:
+        if self.closing_at and done and not self.clients.connections and not self.clients.listening:
             self._exit()
 
     def _exit(self) -> None:
         if self.closed.done():
             return
-        self.clients.last_look()
+        self.clients.read_pending()
         if self.arrived:  # a request that is whole gets its answer before its connection ends
             self.turn()
         self.closed.set_result(None)
@@ -866,7 +865,3 @@
         self.calls.close()
         self.clients.close()
         self.journal.close()
-
-
-def refusal(wait_us: int) -> bytes:
-    return b"-BUSY %d\r\n" % -(-wait_us // 1000) if wait_us > 0 else b"-BUSY\r\n"
--- /dev/null
+++ b/message_relay/server/resp/socket_writer.py
@@ -0,0 +1,47 @@
+"""Buffered writing to a non-blocking socket."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+
+MAX_UNSENT_BYTES = 1 << 16  # of replies that a client may leave unread
+
+
+class SocketWriter:
+    """Sends what it can at once and keeps the rest until the socket is writable again."""
+
+    __slots__ = ("loop", "on_failure", "on_writable", "sock", "unsent")
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        sock: socket.socket,
+        on_writable: Callable[[], None],
+        on_failure: Callable[[], None],
+    ) -> None:
+        self.loop = loop
+        self.sock = sock
+        self.on_writable = on_writable  # the caller then writes again
+        self.on_failure = on_failure  # the connection has failed, or the peer does not read
+        self.unsent = b""
+
+    def write(self) -> None:
+        """Send as much of the unsent bytes as the socket takes."""
+        try:
+            sent_bytes = self.sock.send(self.unsent)
+        except (BlockingIOError, InterruptedError):
+            sent_bytes = 0
+        except OSError:
+            self.on_failure()
+            return
+        self.unsent = self.unsent[sent_bytes:]
+        if len(self.unsent) > MAX_UNSENT_BYTES:
+            self.on_failure()
+        elif self.unsent:
+            self.loop.add_writer(self.sock, self._on_writable)
+
+    def _on_writable(self) -> None:
+        self.loop.remove_writer(self.sock)
+        self.on_writable()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,7 +14,7 @@
 import sys
 
 from message_relay.server.configuration import load
-from message_relay.server.admin_console import Console
+from message_relay.server.admin_console import AdminConsole
 from message_relay.server.relay_server import Host
 
 ROOT = pathlib.Path(__file__).parent.parent
@@ -308,7 +308,7 @@
     async def inside(self):
         """Start the courier in this process; returns a client of it."""
         self.host = Host(asyncio.get_running_loop(), load(self.env()))
-        self.console = Console(self.host)
+        self.console = AdminConsole(self.host)
         self.console_port = await self.console.listen(("127.0.0.1", 0))
         return await Client().open(await self.host.start())
 
@@ -327,7 +327,7 @@
         return {name: int(value) for name, value in (line.rsplit(" ", 1) for line in lines[1:-1])}
 
     def port_of_host(self):
-        return self.host.clients.sock.getsockname()[1]
+        return self.host.clients.listening_socket.getsockname()[1]
 
     async def outside(self, files=0):
         """Start the courier in a process of its own; returns a client of it."""
--- a/tests/test_console.py
+++ b/tests/test_admin_console.py
@@ -1,4 +1,4 @@
-"""The operators' address: what is parsed, what is refused, and that no caller holds up another."""
+"""The operators' console: what is parsed, what is rejected, and that no caller delays another."""
 
 import asyncio
 import json
@@ -8,13 +8,13 @@
 import pytest
 from loopback import ROOT, answer, bounded, courier, settings
 
-from message_relay.server import admin_console as c
+from message_relay.server import admin_console
 from message_relay.server.configuration import ConfigError, load
-from message_relay.server.metrics import Counters, escape
+from message_relay.server.metrics import Gauges, Metrics, escape_label_value
 
 
-class Asked:
-    """A host that keeps what it is asked and refuses one id."""
+class RecordingCommands:
+    """Records the commands and rejects one id."""
 
     def __init__(self):
         self.calls = []
@@ -23,7 +23,7 @@
         def call(*args):
             self.calls.append((name, *args))
             if args == ("none",):
-                raise c.Refused("no such endpoint")
+                raise admin_console.CommandRejectedError("no such endpoint")
             if args == ("broken",):
                 raise RuntimeError("a fault")
             return "app_inflight 14\n"
@@ -32,14 +32,14 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "says", "asked"),
+    ("line", "answer_text", "expected_calls"),
     [
-        (b"health\n", "ACK\n", [("health",)]),
+        (b"health\n", "ACK\n", [("check_health",)]),
         (b"  quiesce \r\n", "ACK\n", [("quiesce",)]),
         (b"resume\n", "ACK\n", [("resume",)]),
         (b"cordon s-1\n", "ACK\n", [("cordon", "s-1")]),
         (b"uncordon s-1\r\n", "ACK\n", [("uncordon", "s-1")]),
-        (b"counters\n", "ACK\napp_inflight 14\n--\n", [("figures",)]),
+        (b"counters\n", "ACK\napp_inflight 14\n--\n", [("render_metrics",)]),
         (b"cordon none\n", "NAK no such endpoint\n", [("cordon", "none")]),
         (b"cordon broken\n", "NAK internal error\n", [("cordon", "broken")]),
         (b"cordon\n", "NAK cordon takes the id of one endpoint\n", []),
@@ -54,18 +54,18 @@
         (b"\xff\xfe\n", "NAK a call is plain ASCII\n", []),
     ],
 )
-def test_each_call_has_its_answer(line, says, asked):
-    host = Asked()
-    assert c.answer(line, host) == says
-    assert host.calls == asked
+def test_each_call_has_its_answer(line, answer_text, expected_calls):
+    commands = RecordingCommands()
+    assert admin_console.execute_line(line, commands) == answer_text
+    assert commands.calls == expected_calls
 
 
-def talking(test):
+def with_console(test):
     """Runs a test with a console of its own."""
 
     def run(monkeypatch):
         async def inner():
-            console = c.Console(Asked())
+            console = admin_console.AdminConsole(RecordingCommands())
             port = await console.listen(("127.0.0.1", 0))
             try:
                 await test(console, lambda: bounded(asyncio.open_connection("127.0.0.1", port)), monkeypatch)
@@ -77,9 +77,9 @@
     return run
 
 
-@talking
-async def test_a_stalled_caller_holds_up_nobody_and_is_told_so(console, call, monkeypatch):
-    monkeypatch.setattr(c, "CALL_S", 0.3)
+@with_console
+async def test_a_stalled_caller_delays_nobody_and_gets_an_error(console, call, monkeypatch):
+    monkeypatch.setattr(admin_console, "COMMAND_TIMEOUT_S", 0.3)
     stalled = [await call() for _ in range(5)]
     for _, writer in stalled:
         writer.write(b"heal")
@@ -89,11 +89,11 @@
     for reader, writer in stalled:
         assert (await bounded(reader.read())).startswith(b"NAK ")
         writer.close()
-    assert console.host.calls == [("health",)]
+    assert console.commands.calls == [("check_health",)]
 
 
-@talking
-async def test_a_call_in_pieces_is_one_call_and_a_cut_one_is_none(console, call, _):
+@with_console
+async def test_a_command_in_pieces_is_one_command_and_a_truncated_one_is_none(console, call, _):
     reader, writer = await call()
     for byte in b"cordon s-12\n":
         writer.write(bytes([byte]))
@@ -104,10 +104,10 @@
     writer.write(b"cordon s-1")
     writer.write_eof()
     assert (await bounded(reader.read())).startswith(b"NAK ")
-    assert console.host.calls == [("cordon", "s-12")]
+    assert console.commands.calls == [("cordon", "s-12")]
 
 
-@talking
+@with_console
 async def test_a_line_too_long_and_what_follows_a_call_are_bounded(console, call, _):
     reader, writer = await call()
     writer.write(b"x" * 100_000)
@@ -115,14 +115,14 @@
     reader, writer = await call()
     writer.write(b"health\n" + b"quiesce\n" * 1000)  # one call a connection; its answer is not lost
     assert await bounded(reader.read()) == b"ACK\n"
-    assert console.host.calls == [("health",)]
+    assert console.commands.calls == [("check_health",)]
 
 
-@talking
+@with_console
 async def test_the_first_to_come_makes_room_for_one_more(console, call, monkeypatch):
-    monkeypatch.setattr(c, "CALLERS", 3)
+    monkeypatch.setattr(admin_console, "MAX_CONNECTIONS", 3)
     waiting = [await call() for _ in range(3)]
-    while len(console.callers) < 3:
+    while len(console.connections) < 3:
         await asyncio.sleep(0.001)
     reader, writer = await call()
     writer.write(b"health\n")
@@ -153,15 +153,15 @@
     assert load({**env, "LB_CONSOLE": ""}).console is None
 
 
-def test_figures_are_one_a_line_and_label_values_escaped():
-    counters = Counters(["plain", 'a"b\\c\nd'])
-    counters.delivered(0)
-    counters.handed_back(1)
-    counters.failed(1)
-    counters.written(10)
-    counters.reconfigured(True)
-    assert escape('a"b\\c\nd') == 'a\\"b\\\\c\\nd'
-    assert counters.render({"inflight": 3}).splitlines() == [
+def test_metrics_are_one_a_line_and_label_values_escaped():
+    metrics = Metrics(["plain", 'a"b\\c\nd'])
+    metrics.record_delivered(0)
+    metrics.record_rejected(1)
+    metrics.record_failed(1)
+    metrics.record_attempts_written(10)
+    metrics.record_reload(True)
+    assert escape_label_value('a"b\\c\nd') == 'a\\"b\\\\c\\nd'
+    assert metrics.render(Gauges(3, 5, 2)).splitlines() == [
         'app_success_total{tier="plain"} 1',
         'app_success_total{tier="a\\"b\\\\c\\nd"} 0',
         'app_busy_total{tier="plain"} 0',
@@ -170,6 +170,8 @@
         'app_failure_total{tier="a\\"b\\\\c\\nd"} 1',
         "app_backend_calls_total 10",
         "app_inflight 3",
+        "app_hosts_listed 5",
+        "app_hosts_down 2",
         "app_reconfig_ok_total 1",
         "app_reconfig_failed_total 0",
     ]
@@ -177,10 +179,10 @@
 
 @courier
 async def test_each_end_is_counted_once_where_it_happens(fleet):
-    e = await fleet.endpoint("a", answer(200), answer(500), answer(429), "hang")
+    endpoint = await fleet.endpoint("a", answer(200), answer(500), answer(429), "hang")
     client = await fleet.inside()
     assert await client.put("m1") == "+OK"
-    await e.call()
+    await endpoint.call()
     assert await client.put("m1") == "+OK"  # known: no message more
     assert await client.put("m2", kind="unsafe") == "+OK"
     assert (await fleet.discovery.final())["status"] == "undeliverable"
@@ -194,7 +196,7 @@
 
 
 @courier
-async def test_what_is_turned_away_at_the_door_is_counted(fleet):
+async def test_a_message_rejected_at_submission_is_counted(fleet):
     fleet.raw = settings(policyLimits__maxOpen=1)
     await fleet.endpoint("a", "hang")
     client = await fleet.inside()
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients that send what can't be used, can't be read or never becomes whole, beside the usual ones."""
+"""Clients that send invalid, malformed or incomplete requests, beside the usual ones."""
 
 import asyncio
 import contextlib
@@ -8,28 +8,28 @@
 import pytest
 from loopback import Client, bounded, courier
 
-from message_relay.server.resp import server
-from message_relay.server.resp.reader import FramingError, RequestReader
+from message_relay.server.resp import connection, connection_table
+from message_relay.server.resp.reader import ProtocolError, RequestReader
 
-c = Client.command
-UNUSABLE = {
-    "no such command": c(b"NOPE"),
+command = Client.command
+INVALID_REQUESTS = {
+    "no such command": command(b"NOPE"),
     "no command": b"*0\r\n",
-    "too few": c(b"MSG.PUT", b"1"),
-    "class": c(b"MSG.PUT", b"0", b"id", b"c=nope,t=t,d=9,dest=7", b""),
-    "deadline": c(b"MSG.PUT", b"0", b"id", b"c=safe,t=t,d=x,dest=7", b""),
-    "endless deadline": c(b"MSG.PUT", b"0", b"id", b"c=safe,t=t,d=999999999999,dest=7", b""),
-    "no key": c(b"MSG.PUT", b"0", b"id", b"c=keyed,t=t,d=900,dest=7", b""),
-    "tenant": c(b"MSG.PUT", b"0", b"id", b"c=safe,t=nobody,d=900,dest=7", b""),
-    "destination": c(b"MSG.PUT", b"0", b"id", b"c=safe,t=t,d=900,dest=99", b""),
-    "id": c(b"MSG.PUT", b"0", b"i d", b"c=safe,t=t,d=900,dest=7", b""),
-    "no id": c(b"MSG.PUT", b"0", b"", b"c=safe,t=t,d=900,dest=7", b""),
-    "fields": c(b"MSG.PUT", b"0", b"id", b"\xff\xfe", b""),
+    "too few": command(b"MSG.PUT", b"1"),
+    "class": command(b"MSG.PUT", b"0", b"id", b"c=nope,t=t,d=9,dest=7", b""),
+    "deadline": command(b"MSG.PUT", b"0", b"id", b"c=safe,t=t,d=x,dest=7", b""),
+    "endless deadline": command(b"MSG.PUT", b"0", b"id", b"c=safe,t=t,d=999999999999,dest=7", b""),
+    "no key": command(b"MSG.PUT", b"0", b"id", b"c=keyed,t=t,d=900,dest=7", b""),
+    "tenant": command(b"MSG.PUT", b"0", b"id", b"c=safe,t=nobody,d=900,dest=7", b""),
+    "destination": command(b"MSG.PUT", b"0", b"id", b"c=safe,t=t,d=900,dest=99", b""),
+    "id": command(b"MSG.PUT", b"0", b"i d", b"c=safe,t=t,d=900,dest=7", b""),
+    "no id": command(b"MSG.PUT", b"0", b"", b"c=safe,t=t,d=900,dest=7", b""),
+    "fields": command(b"MSG.PUT", b"0", b"id", b"\xff\xfe", b""),
 }
-UNREADABLE = {
+MALFORMED_REQUESTS = {
     "inline": b"PING\r\n",
     "number": b":5\r\n",
-    "noise": b"\x00\xff\x17" * 30,
+    "random bytes": b"\x00\xff\x17" * 30,
     "nested": b"*1\r\n*1\r\n$1\r\nx\r\n",
     "negative count": b"*-1\r\n",
     "huge count": b"*1000000000\r\n",
@@ -45,22 +45,22 @@
 
 
 @courier
-async def test_a_request_that_cant_be_used_gets_its_error_and_the_connection_goes_on(fleet):
+async def test_an_invalid_request_gets_its_error_and_the_connection_stays_open(fleet):
     await fleet.endpoint("a")
     await fleet.inside()
-    for name, request in UNUSABLE.items():
+    for name, request in INVALID_REQUESTS.items():
         client = await Client().open(fleet.port_of_host())
         assert (await client.send(request)).startswith("-ERR"), name
-        assert await client.send(c(b"PING")) == "+PONG", name
+        assert await client.send(command(b"PING")) == "+PONG", name
     assert not fleet.host.journal.held and not fleet.host.journal.over
 
 
 @courier
-async def test_what_cant_be_read_is_answered_with_an_error_and_a_close(fleet):
-    # A huge length is turned down before anything is kept for it, without waiting for the rest.
+async def test_a_malformed_request_is_answered_with_an_error_and_a_close(fleet):
+    # A huge length is rejected before anything is kept for it, without waiting for the rest.
     await fleet.endpoint("a")
     await fleet.inside()
-    for name, request in UNREADABLE.items():
+    for name, request in MALFORMED_REQUESTS.items():
         client = await Client().open(fleet.port_of_host())
         assert (await client.send(request)).startswith("-ERR"), name
         with contextlib.suppress(ConnectionResetError):  # a close with bytes unread
@@ -83,7 +83,7 @@
 async def test_byte_by_byte_and_several_at_once_in_order(fleet):
     await fleet.endpoint("a")
     client = await fleet.inside()
-    for byte in client.message("p1") + c(b"NOPE") + client.message("p2") + c(b"PING"):
+    for byte in client.message("p1") + command(b"NOPE") + client.message("p2") + command(b"PING"):
         client.writer.write(bytes([byte]))
         await asyncio.sleep(0)
     got = [await client.line() for _ in range(4)]
@@ -91,31 +91,33 @@
 
 
 @courier
-async def test_one_that_goes_on_with_what_was_turned_down_is_slowed_and_closed(fleet):
+async def test_a_client_that_repeats_invalid_requests_is_slowed_and_closed(fleet):
     await fleet.endpoint("a")
     client = await fleet.inside()
     began = time.monotonic()
-    client.writer.write(c(b"NOPE") * server.STRIKES + c(b"PING"))
+    client.writer.write(command(b"NOPE") * connection.MAX_INVALID_REQUESTS + command(b"PING"))
     got = (await bounded(client.reader.read())).split(b"\r\n")
-    assert len(got) == server.STRIKES + 1 and all(line.startswith(b"-ERR") for line in got[:-1])
-    assert time.monotonic() - began >= server.PAUSE_S
+    assert len(got) == connection.MAX_INVALID_REQUESTS + 1 and all(
+        line.startswith(b"-ERR") for line in got[:-1]
+    )
+    assert time.monotonic() - began >= connection.INVALID_REQUEST_PAUSE_S
 
 
 @courier
 async def test_hundreds_of_requests_at_once_end_the_connection(fleet):
     await fleet.endpoint("a")
     client = await fleet.inside()
-    client.writer.write(c(b"PING") * 500)
+    client.writer.write(command(b"PING") * 500)
     lines = (await bounded(client.reader.read())).split(b"\r\n")
-    assert lines[-2].startswith(b"-ERR") and len(lines) <= server.PIPELINE + 2
+    assert lines[-2].startswith(b"-ERR") and len(lines) <= connection.MAX_PIPELINED_REQUESTS + 2
 
 
 @courier
-async def test_a_client_that_does_not_become_whole_in_time_is_told_or_closed(fleet):
+async def test_a_request_that_is_not_complete_in_time_gets_an_error_or_a_close(fleet):
     await fleet.endpoint("a")
     silent = await fleet.inside()
     half = await Client().open(fleet.port_of_host())
-    half.writer.write(c(b"PING")[:9])
+    half.writer.write(command(b"PING")[:9])
     later = await Client().open(fleet.port_of_host())
     assert await later.put("m1") == "+OK"
     later.writer.write(later.message("m2")[:60])
@@ -124,12 +126,12 @@
     assert (await later.line()).startswith("-ERR")
     for client in (silent, half, later):
         assert await bounded(client.reader.read()) == b""
-    assert time.monotonic() - began < server.WHOLE_S + 1
+    assert time.monotonic() - began < connection.REQUEST_TIMEOUT_S + 1
 
 
 @courier
-async def test_silent_connections_by_hundreds_do_not_keep_the_usual_clients_out(fleet):
-    # They had used up all descriptors: accepting took up the whole backlog before it closed any.
+async def test_hundreds_of_silent_connections_do_not_keep_the_usual_clients_out(fleet):
+    # They had used up all descriptors: the whole backlog was accepted before any was closed.
     fleet.limits["sockets"] = 64
     await fleet.endpoint("a")
     await fleet.outside(files=64)
@@ -140,63 +142,63 @@
         sock.connect_ex(("127.0.0.1", fleet.port))
         crowd.append(sock)
     for n in range(5):
-        fresh = await Client().open(fleet.port)
-        assert await asyncio.wait_for(fresh.put(f"f{n}"), 0.4) == "+OK"
-        assert await asyncio.wait_for(fresh.put(f"m{n}"), 0.4) == "+OK"
+        new_client = await Client().open(fleet.port)
+        assert await asyncio.wait_for(new_client.put(f"f{n}"), 0.4) == "+OK"
+        assert await asyncio.wait_for(new_client.put(f"m{n}"), 0.4) == "+OK"
     for sock in crowd:
         sock.close()
 
 
 @courier
-async def test_accepting_outlives_the_end_of_descriptors(fleet):
-    # The limit told is wrong: only EMFILE says so, and the connections that were of no use go.
+async def test_accepting_survives_running_out_of_descriptors(fleet):
+    # The configured limit is wrong: only EMFILE says so, and connections without a valid request are closed.
     await fleet.endpoint("a")
     await fleet.outside(files=40)
     crowd = [await Client().open(fleet.port) for _ in range(60)]
-    fresh = await Client().open(fleet.port)
-    assert await fresh.send(c(b"PING")) == "+PONG"
-    assert await fresh.put("m1") == "+OK"
+    new_client = await Client().open(fleet.port)
+    assert await new_client.send(command(b"PING")) == "+PONG"
+    assert await new_client.put("m1") == "+OK"
     for one in crowd:
         one.writer.close()
 
 
 @pytest.mark.parametrize("data", [b"*1000000000\r\n", b"*5\r\n$99999999999\r\n"])
-def test_nothing_is_kept_for_a_length_that_was_only_told(data):
+def test_nothing_is_allocated_for_a_length_that_was_only_announced(data):
     reader = RequestReader()
     reader.feed(data)
-    with pytest.raises(FramingError):
-        reader.next()
-    assert not reader.items
+    with pytest.raises(ProtocolError):
+        reader.next_request()
+    assert not reader.arguments
 
 
 @courier
-async def test_one_that_has_just_connected_is_not_closed_for_room(fleet):
+async def test_a_new_connection_is_not_closed_to_make_room(fleet):
     # Where each client asks once and keeps its connection, those that had just come were closed as never of
     # use before the idle ones, with their first request on its way.
     fleet.limits["sockets"] = 40
     await fleet.endpoint("a")
     await fleet.inside()
-    most = fleet.host.clients.max_clients
-    stay = [await Client().open(fleet.port_of_host()) for _ in range(most - 1)]
-    for n, client in enumerate(stay):
+    max_connections = fleet.host.clients.table.max_connections
+    idle_clients = [await Client().open(fleet.port_of_host()) for _ in range(max_connections - 1)]
+    for n, client in enumerate(idle_clients):
         assert await client.put(f"m{n}") == "+OK"
-    fresh = [await Client().open(fleet.port_of_host()) for _ in range(most // 2)]
+    new_client = [await Client().open(fleet.port_of_host()) for _ in range(max_connections // 2)]
     await asyncio.sleep(0)
-    for n, client in enumerate(fresh):
+    for n, client in enumerate(new_client):
         assert await client.put(f"f{n}") == "+OK"
 
 
 @courier
-async def test_of_those_that_keep_their_connection_for_good_only_some_are_kept(fleet):
+async def test_only_a_share_of_the_idle_connections_is_kept(fleet):
     # Each held its place for 3 s: at a hundred new ones a second there was none left for those that came.
     fleet.limits["sockets"] = 80
     await fleet.endpoint("a")
     await fleet.inside()
-    places = fleet.host.clients.max_clients
-    stay = []
-    for n in range(places):
-        stay.append(await Client().open(fleet.port_of_host()))
-        assert await stay[-1].put(f"m{n}") == "+OK"
-    assert len(fleet.host.clients.clients) <= places * server.IDLE_SHARE + 1
-    assert await stay[-1].put("again") == "+OK"  # the longest idle have gone
-    assert await bounded(stay[0].reader.read()) == b""
+    max_connections = fleet.host.clients.table.max_connections
+    idle_clients = []
+    for n in range(max_connections):
+        idle_clients.append(await Client().open(fleet.port_of_host()))
+        assert await idle_clients[-1].put(f"m{n}") == "+OK"
+    assert len(fleet.host.clients.connections) <= max_connections * connection_table.IDLE_CONNECTION_SHARE + 1
+    assert await idle_clients[-1].put("again") == "+OK"  # the longest idle have gone
+    assert await bounded(idle_clients[0].reader.read()) == b""
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -7,8 +7,8 @@
 from loopback import Client, Fleet, bounded
 
 
-async def crowd(port, count):
-    """Connections that send nothing; those that are turned away or closed are opened no more."""
+async def open_silent_connections(port, count):
+    """Connections that send nothing; those that are rejected or closed are not opened again."""
     opened = []
     for _ in range(count):
         with contextlib.suppress(OSError, asyncio.TimeoutError):
@@ -21,25 +21,25 @@
 def test_idle_clients_leave_descriptors_for_all_else_when_discovery_is_back(tmp_path, files, callers):
     async def run():
         async with Fleet(tmp_path, sockets=files) as fleet:
-            e = await fleet.endpoint("a")
+            endpoint = await fleet.endpoint("a")
             await fleet.discovery.stop()
-            useful = await fleet.outside(files=files)
-            assert await useful.put("before") == "+OK"
-            assert (await e.call())[1]["x-request-id"] == "before"
-            idle = await crowd(fleet.port, 2 * files)
-            idle += await crowd(fleet.console_port, callers)
-            late = await Client().open(fleet.port)
+            active_client = await fleet.outside(files=files)
+            assert await active_client.put("before") == "+OK"
+            assert (await endpoint.call())[1]["x-request-id"] == "before"
+            idle_connections = await open_silent_connections(fleet.port, 2 * files)
+            idle_connections += await open_silent_connections(fleet.console_port, callers)
+            late_client = await Client().open(fleet.port)
             await fleet.discovery.start()
-            assert await late.send(Client.command(b"PING")) == "+PONG"
-            assert await useful.put("after") == "+OK"  # the useful one was not cut
-            assert (await e.call())[1]["x-request-id"] == "after"
+            assert await late_client.send(Client.command(b"PING")) == "+PONG"
+            assert await active_client.put("after") == "+OK"  # the active client was not disconnected
+            assert (await endpoint.call())[1]["x-request-id"] == "after"
             await bounded(fleet.discovery.watches.get())
             fleet.discovery.change("a", state="terminating")
-            assert await useful.put("nowhere", life=1500) == "+OK"
+            assert await active_client.put("nowhere", life=1500) == "+OK"
             assert (await fleet.discovery.final())["id"] == "nowhere"  # its notice
-            figures = await fleet.ask("counters")
-            assert figures.startswith("ACK") and "app_hosts_listed 1\n" in figures
-            for _, writer in idle:
+            metrics = await fleet.ask("counters")
+            assert metrics.startswith("ACK") and "app_hosts_listed 1\n" in metrics
+            for _, writer in idle_connections:
                 writer.close()
 
     asyncio.run(run())
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -4,7 +4,7 @@
 
 from loopback import bounded, courier
 
-from message_relay.server.resp import server
+from message_relay.server.resp import connection
 
 
 def kept(host):
@@ -19,7 +19,7 @@
         "arriving": len(host.arriving),
         "guards": len(host.guards),
         "attempts": len(host.attempts),
-        "clients": len(host.clients.clients),
+        "clients": len(host.clients.connections),
         "held": len(journal.held),
         "ids": len(journal.ids),
         "open": journal.open,
@@ -79,5 +79,5 @@
     await fleet.endpoint("a")
     client = await fleet.inside()
     assert await client.put("m1") == "+OK"
-    assert await asyncio.wait_for(client.reader.read(), server.IDLE_S + 1) == b""
-    assert not fleet.host.clients.clients
+    assert await asyncio.wait_for(client.reader.read(), connection.IDLE_TIMEOUT_S + 1) == b""
+    assert not fleet.host.clients.connections
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -34,7 +34,7 @@
 )
 from message_relay.server import hot_restart as h
 from message_relay.server.configuration import load
-from message_relay.server.admin_console import Refused
+from message_relay.server.admin_console import CommandRejectedError
 from message_relay.server.relay_server import Host
 from message_relay.server.journal.journal import Journal, Taken
 
@@ -231,10 +231,10 @@
     assert await client.put("u", kind="unsafe") == "+OK"
     await g.call()
     old.cordon("f")
-    while not any(c.reader.midway for c in old.clients.clients):
+    while not any(c.reader.mid_request for c in old.clients.connections):
         await asyncio.sleep(0.001)
     new = await pair.upgrade()
-    assert new.not_ready() == "" and old.not_ready() == "handed over"
+    assert new.unready_reason() == "" and old.unready_reason() == "handed over"
     assert await client.put("next", dest=8) == "+OK"  # on the connection that it had
     assert await half.send(Client.message("half", dest=8)[25:]) == "+OK"
     assert {(await e.call())[1]["x-request-id"] for _ in range(2)} == {"next", "half"}
@@ -243,7 +243,7 @@
     await bounded(old.closed)
     while new.journal.open:
         await asyncio.sleep(0.001)
-    assert new.counters.success[2] == 1 and g.calls.empty() and f.calls.empty()
+    assert new.counters.delivered[2] == 1 and g.calls.empty() and f.calls.empty()
     assert fleet.discovery.finals.empty() and "f" in new.journal.cordoned
 
 
@@ -275,14 +275,14 @@
     while not new.heard.is_set():
         await asyncio.sleep(0.001)
     await asyncio.sleep(0.1)
-    assert not starting.done() and new.not_ready() == "starting"
+    assert not starting.done() and new.unready_reason() == "starting"
     with pytest.raises(h.Taken):
         new.journal.acquire()
     pair.predecessor.close()
     pair.old.close()
     await bounded(starting)
     pair.fleet.host = new
-    assert [m.id for m in new.journal.held.values()] == ["m"] and new.not_ready() == ""
+    assert [m.id for m in new.journal.held.values()] == ["m"] and new.unready_reason() == ""
     late = await Client().open(fleet.port_of_host())
     assert await late.put("late", dest=8) == "+OK"
     await e.call()
@@ -305,7 +305,7 @@
 async def still_serves(fleet, pair, client, e, name):
     while pair.old.frozen or pair.predecessor.channel is not None:
         await asyncio.sleep(0.001)
-    assert pair.old.not_ready() == "" and await client.put(name, dest=8) == "+OK"
+    assert pair.old.unready_reason() == "" and await client.put(name, dest=8) == "+OK"
     assert (await e.call())[1]["x-request-id"] == name
     late = await Client().open(fleet.port_of_host())
     assert await late.send(Client.command(b"PING")) == "+PONG"
@@ -333,7 +333,7 @@
     stub = Stub(pair)
     stub.channel.send(["take", h.VERSION])
     await stub.until("end")
-    assert pair.old.not_ready() == "handing over"
+    assert pair.old.unready_reason() == "handing over"
     g.open.set()
     while not pair.predecessor.held_back:
         await asyncio.sleep(0.001)
@@ -341,7 +341,7 @@
     await still_serves(fleet, pair, client, e, "c")
     while pair.old.journal.open:
         await asyncio.sleep(0.001)
-    assert pair.old.counters.success[0] == 4 and g.calls.empty()
+    assert pair.old.counters.delivered[0] == 4 and g.calls.empty()
     # It has the lock, but has not said so.
     stub = Stub(pair)
     stub.channel.send(["take", h.VERSION])
@@ -362,13 +362,13 @@
     stub.channel.send(["take", h.VERSION])
     await stub.until("end")
     client.writer.write(Client.message("b", dest=8))
-    for served in pair.old.clients.clients:
-        served.due = 0.0
+    for served in pair.old.clients.connections:
+        served.close_at_s = 0.0
     pair.old._empty()
-    pair.old.clients._sweep()
+    pair.old.clients._sweep_periodically()
     fd = stub.channel.fds[1]
     assert Client.message("b", dest=8) in socket.socket(fileno=os.dup(fd)).recv(1000)  # still there, and open
-    assert len(pair.old.clients.clients) == 1
+    assert len(pair.old.clients.connections) == 1
     stub.channel.close()
     assert [(await e.call())[1]["x-request-id"]] == ["a"]
 
@@ -382,7 +382,7 @@
     journal = Journal(fleet.folder / "state", 3_000_000).acquire()
     stub.channel.close()  # with the lock held
     await bounded(pair.old.closed)
-    assert pair.old.retired and pair.old.not_ready() == "handed over"
+    assert pair.old.retired and pair.old.unready_reason() == "handed over"
     with pytest.raises(OSError):
         pair.old.journal.cordon("x", True)
     journal.close()
@@ -428,16 +428,16 @@
     await fleet.endpoint("e")
     _, pair = await start()
     new = pair.host()
-    with pytest.raises(Refused, match="starting"):
-        new.health()
-    with pytest.raises(Refused, match="starting"):
+    with pytest.raises(CommandRejectedError, match="starting"):
+        new.check_health()
+    with pytest.raises(CommandRejectedError, match="starting"):
         new.cordon("e")
     await bounded(h.take_over(pair.loop, new, pair.path))
     fleet.host = new
-    for call in (pair.old.health, pair.old.quiesce, pair.old.resume):
-        with pytest.raises(Refused, match="handed over"):
+    for call in (pair.old.check_health, pair.old.quiesce, pair.old.resume):
+        with pytest.raises(CommandRejectedError, match="handed over"):
             call()
-    new.health()
+    new.check_health()
     new.cordon("e")
 
 
--- a/tests/test_quiesce.py
+++ b/tests/test_quiesce.py
@@ -57,11 +57,11 @@
     client = await fleet.inside()
     assert await client.send(PING) == "+PONG"
     host = fleet.host
-    served = next(iter(host.clients.clients))
+    served = next(iter(host.clients.connections))
     client.writer.write(Client.message("m"))
-    while not served._unread():
+    while not served._has_unread_data():
         pass  # the loop is not let go: the request lies unread
-    host.clients.close_idle()
+    host.clients.close_idle_connections()
     assert await client.line() == "+OK"
     assert (await e.call())[1]["x-request-id"] == "m"
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -429,7 +429,7 @@
             assert new.waits == {(8, -1): 372_336_378}
             assert new.policy.avoided_endpoints() == [3, 4, 5]
             # What it would hand on now is what it was handed, and so are the requests of its clients.
-            states = [client.state() for client in new.clients.clients]
+            states = [client.export_state() for client in new.clients.connections]
             assert states == clients_frame[1]
             exported = json.loads(json.dumps(capture(policy).to_wire()))
             assert exported == json.loads(json.dumps(given["brain"]))
@@ -443,7 +443,7 @@
             while new.journal.open > 2 or policy.in_flight:
                 await asyncio.sleep(0.001)
             assert [m.id for m in new.journal.held.values()] == ["waiting", "half"]
-            assert new.counters.success == [1, 0, 1]
+            assert new.counters.delivered == [1, 0, 1]
             earlier.close()
 
     asyncio.run(run())
