--- a/message_relay/server/discovery/endpoint_watch.py
+++ b/message_relay/server/discovery/endpoint_watch.py
@@ -11,7 +11,8 @@
 from typing import Any
 
 from message_relay.server.configuration import Address
-from message_relay.server.http.connection import Connection, Exchange
+from message_relay.server.http.connection import HttpConnection
+from message_relay.server.http.response_handler import ResponseHandler
 
 # A change counts as told 6 s after discovery had it and could be reached, whatever failed before: a silence,
 # one ask that fails and the longest wait after it fit into that together; after SIGHUP the last two into 4 s.
@@ -58,7 +59,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address) -> None:
         self.loop, self.address = loop, address
-        self.connection: Connection | None = None
+        self.connection: HttpConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.backoff = Backoff()
         self.stopped = False
@@ -75,7 +76,7 @@
         if self.connection is not None:
             self.connection.close()
         try:
-            self.connection = Connection(self.loop, self.address)
+            self.connection = HttpConnection(self.loop, self.address)
             self.connection.connect(self._connected)
         except OSError as error:
             log.warning("discovery: %s", error)
@@ -113,7 +114,7 @@
             self.connection.close()
 
 
-class Watch(Link, Exchange):
+class Watch(Link, ResponseHandler):
     """Follows the list of endpoints from the last version on."""
 
     def __init__(
@@ -140,9 +141,9 @@
         assert self.connection is not None
         self.tail, self.status = b"", 0
         self.after(ANSWER_S, self.open)
-        self.connection.request("GET", f"/discovery/hosts?watch=1&from={self.rev}", [], b"", self)
+        self.connection.send_request("GET", f"/discovery/hosts?watch=1&from={self.rev}", [], b"", self)
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def headers_received(self, status: int, headers: dict[str, str]) -> None:
         self.status = status
         if status != 200:
             log.warning("discovery: watch answered %d", status)
@@ -150,7 +151,7 @@
         else:
             self.after(SILENCE_S, self.open)
 
-    def data(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         if self.status != 200:
             return
         *lines, self.tail = (self.tail + data).split(b"\n")
@@ -178,14 +179,14 @@
         self.rev = rev
         self.told(change)
 
-    def end(self, noise: bool) -> None:
+    def response_complete(self, trailing_bytes: bool) -> None:
         self.retry()
 
-    def lost(self, written: bool) -> None:
+    def connection_lost(self, request_written: bool) -> None:
         self.retry()
 
 
-class Notices(Link, Exchange):
+class Notices(Link, ResponseHandler):
     """Sends finals in batches, again and again until each batch is answered 204."""
 
     def __init__(
@@ -221,7 +222,7 @@
                 self.timer.cancel()
             return
         connection = self.connection
-        if connection is None or connection.closed or connection.stale():
+        if connection is None or connection.closed or connection.is_stale():
             self.open()
         else:
             self.ready()
@@ -232,12 +233,14 @@
         body = b"".join(self.waiting[n] for n in self.sent)
         self.status = 0
         self.after(NOTICE_S, self.open)
-        self.connection.request("POST", "/v2/finals", [("Content-Type", "application/x-ndjson")], body, self)
+        self.connection.send_request(
+            "POST", "/v2/finals", [("Content-Type", "application/x-ndjson")], body, self
+        )
 
-    def head(self, status: int, headers: dict[str, str]) -> None:
+    def headers_received(self, status: int, headers: dict[str, str]) -> None:
         self.status = status
 
-    def end(self, noise: bool) -> None:
+    def response_complete(self, trailing_bytes: bool) -> None:
         if self.status == 204:
             self.backoff.reset()
             self._forget()
@@ -258,5 +261,5 @@
             self.waiting.pop(number, None)
         self.accepted(self.sent)
 
-    def lost(self, written: bool) -> None:
+    def connection_lost(self, request_written: bool) -> None:
         self.retry()
--- /dev/null
+++ b/message_relay/server/endpoint_calls/requests.py
@@ -0,0 +1,66 @@
+"""The requests that carry messages to endpoints."""
+
+from __future__ import annotations
+
+import base64
+import json
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from message_relay.server.endpoint_calls.attempt import CallAttempt
+
+HEALTH_CHECK_PATH = "/alive"
+SINGLE_PATH = "/events"
+BATCH_PATH = "/events/bundle"
+MIN_TIMEOUT_MS = 1  # a call whose time is up while it is being written still states a valid time-out
+MS_PER_S = 1e3
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointRequest:
+    """The parts of an HTTP request that depend on the call."""
+
+    method: str
+    path: str
+    headers: list[tuple[str, str]]
+    body: bytes
+
+
+def health_check_request() -> EndpointRequest:
+    """Return the request of a health check."""
+    return EndpointRequest("GET", HEALTH_CHECK_PATH, [], b"")
+
+
+def delivery_request(
+    attempts: list[CallAttempt], deadline_s: float, clock: Callable[[], float]
+) -> EndpointRequest:
+    """Return the request for one message or a batch.
+
+    deadline_s: until when, in seconds of `clock`, the call is waited for; the endpoint gets what remains.
+    """
+    if len(attempts) > 1:
+        body = _batch_body(attempts)  # first, so that the time that it takes is off the time that remains
+        headers = [_timeout_header(deadline_s - clock()), ("Content-Type", "application/json")]
+        return EndpointRequest("POST", BATCH_PATH, headers, body)
+    attempt = attempts[0]
+    headers = [("X-Request-ID", attempt.message_id), _timeout_header(deadline_s - clock())]
+    if attempt.idempotency_key:
+        headers.append(("Idempotency-Key", attempt.idempotency_key))
+    return EndpointRequest("POST", SINGLE_PATH, headers, attempt.body)
+
+
+def _timeout_header(remaining_s: float) -> tuple[str, str]:
+    timeout_ms = max(MIN_TIMEOUT_MS, int(remaining_s * MS_PER_S))
+    return "X-Timeout-Ms", str(timeout_ms)
+
+
+def _batch_body(attempts: list[CallAttempt]) -> bytes:
+    rows = [_batch_row(attempt) for attempt in attempts]
+    return json.dumps(rows, separators=(",", ":")).encode()
+
+
+def _batch_row(attempt: CallAttempt) -> dict[str, str]:
+    row = {"id": attempt.message_id, "body": base64.b64encode(attempt.body).decode()}
+    if attempt.idempotency_key:
+        row["key"] = attempt.idempotency_key
+    return row
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -9,12 +9,13 @@
 import os
 import time
 from collections.abc import Callable, Iterable
+from types import SimpleNamespace
 from typing import Any
 
 from message_relay import model as i
 from message_relay.policy.delivery_policy import DeliveryPolicy
 from message_relay.policy_snapshot import PolicySnapshot, capture
-from message_relay.server.endpoint_calls.client import Calls, Hooks, Item, Outcome
+from message_relay.server.endpoint_calls import AttemptOutcome, CallAttempt, EndpointCallClient
 from message_relay.server.resp.server import BadRequest, Client, ClientServer, Put, Reply
 from message_relay.server.configuration import Address, Config, ConfigError, parse_address
 from message_relay.server.admin_console import Refused
@@ -81,16 +82,16 @@
         self.counters = Counters([c.name for c in self.s.classes])
         self.closed: asyncio.Future[None] = loop.create_future()
         self.raw: dict[int, dict[str, Any]] = {}  # the list's entries as they came
-        self.hooks = Hooks(
-            self._may_write,
-            self.counters.written,
-            self._begin,
-            self._ended,
-            self._told_wait,
-            self._reported,
-            self._probed,
+        self.hooks: Any = SimpleNamespace(
+            may_write=self._may_write,
+            call_written=self.counters.written,
+            attempts_starting=self._begin,
+            attempt_ended=self._ended,
+            retry_after_received=self._told_wait,
+            load_report_received=self._reported,
+            health_check_ended=self._probed,
         )
-        self.calls = Calls(
+        self.calls = EndpointCallClient(
             loop,
             self.hooks,
             self.s.connection_idle_us,
@@ -245,7 +246,7 @@
                     )
         for m, replies in arrived.values():
             self._take(m, replies)
-        bundles: dict[int, list[Item]] = {}
+        bundles: dict[int, list[CallAttempt]] = {}
         for a in actions:
             if isinstance(a, i.SendAttempt):
                 self._send(a, bundles)
@@ -254,11 +255,11 @@
             elif isinstance(a, i.SetTimer):
                 self.loop.call_later(a.delay_us / 1e6 + 5e-5, self.tell, i.TimerFired(a.token))
             elif isinstance(a, i.CloseIdleConnections):
-                self.calls.close_idle(a.endpoint)
+                self.calls.close_idle_connections(a.endpoint)
             elif isinstance(a, i.CancelAttempt):
                 self.calls.cancel(a.message, a.attempt)
             elif isinstance(a, i.CheckEndpointHealth):
-                self.calls.probe(a.endpoint)
+                self.calls.check_health(a.endpoint)
             elif isinstance(a, i.LogMessage):
                 log.info("%s", a.text)
         for endpoint, items in bundles.items():
@@ -412,7 +413,7 @@
         entry = self.entries.get(endpoint)
         return self.s.kinds[min(entry.kind, len(self.s.kinds) - 1)].max_batch_size if entry else 1
 
-    def _send(self, a: i.SendAttempt, bundles: dict[int, list[Item]]) -> None:
+    def _send(self, a: i.SendAttempt, bundles: dict[int, list[CallAttempt]]) -> None:
         m = self.journal.held.get(a.message)
         attempt = self.attempts.get(a.message, m.tries if m else 0)
         self.attempts[a.message] = attempt + 1
@@ -422,7 +423,7 @@
             )
             return
         zone = self.entries[a.endpoint].zone if a.endpoint in self.entries else -1
-        item = Item(
+        item = CallAttempt(
             m.number,
             attempt,
             m.id,
@@ -438,18 +439,20 @@
         else:
             self._call(a.endpoint, [item])
 
-    def _call(self, endpoint: int, items: list[Item]) -> None:
+    def _call(self, endpoint: int, items: list[CallAttempt]) -> None:
         # A bundle is one call, waited for as long as its first message: led by one whose time is up sooner,
         # it counts as given up while the others are still waited for.
-        items = sorted(items, key=lambda item: -self.journal.held[item.number].until)
+        items = sorted(items, key=lambda item: -self.journal.held[item.message_number].until)
         longest = max(item.timeout_us for item in items)
-        fresh = max(item.fresh_timeout_us for item in items)
+        fresh = max(item.new_connection_timeout_us for item in items)
         for item in items:
             left = (
-                self._mono(self.journal.held[item.number].until) - self.clock() - 2 * self.s.turn_interval_us
+                self._mono(self.journal.held[item.message_number].until)
+                - self.clock()
+                - 2 * self.s.turn_interval_us
             )
             item.timeout_us = max(item.timeout_us, min(longest, left))
-            item.fresh_timeout_us = max(item.fresh_timeout_us, min(fresh, left))
+            item.new_connection_timeout_us = max(item.new_connection_timeout_us, min(fresh, left))
         try:
             self.calls.send(endpoint, items)
         except Exception:  # its slots and messages must not hang on it
@@ -457,8 +460,8 @@
             for item in items:
                 if not item.ended:
                     item.ended = True
-                    result = i.AttemptResult.RESET if item.begun else i.AttemptResult.NOT_ATTEMPTED
-                    self._ended(item, endpoint, Outcome(result), 0)
+                    result = i.AttemptResult.RESET if item.started else i.AttemptResult.NOT_ATTEMPTED
+                    self._ended(item, endpoint, AttemptOutcome(result), 0)
 
     def _wait_key(self, endpoint: int) -> tuple[int, int]:
         entry = self.entries.get(endpoint)
@@ -486,11 +489,13 @@
         ready = ready and self.names.get(endpoint) not in self.journal.cordoned
         return ready and self.waits.get(self._wait_key(endpoint), 0) <= self.clock()
 
-    def _begin(self, items: list[Item]) -> bool:
-        if any(n.number not in self.journal.held or self._repeats_late(n.number) for n in items):
+    def _begin(self, items: list[CallAttempt]) -> bool:
+        if any(
+            n.message_number not in self.journal.held or self._repeats_late(n.message_number) for n in items
+        ):
             return False
         try:
-            self.journal.attempt([n.number for n in items], time.time(), items[0].zone)
+            self.journal.attempt([n.message_number for n in items], time.time(), items[0].zone)
         except OSError as error:
             log.error("journal: %s", error)
             return False
@@ -503,29 +508,29 @@
         ran = m.may_have_run_at if cls.idempotency is i.Idempotency.KEYED else 0.0
         return bool(ran) and time.time() >= ran + (cls.key_window_us - self.policy.state.margin_us) / 1e6
 
-    def _ended(self, item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
-        m = self.journal.held.get(item.number)
-        over = outcome.over or m is None
+    def _ended(self, item: CallAttempt, endpoint: int, outcome: AttemptOutcome, latency: int) -> None:
+        m = self.journal.held.get(item.message_number)
+        over = outcome.message_ended or m is None
         if m and not m.status and outcome.result is i.AttemptResult.OK:
             self.counters.delivered(m.cls)
-        if outcome.over and m:
+        if outcome.message_ended and m:
             self._note(self.journal.done, m.number)
             self._unguard(m.number)
-        elif m and item.begun and outcome.result in UNRUN:
+        elif m and item.started and outcome.result in UNRUN:
             self._note(self.journal.missed, m.number)
         if over:
-            self.attempts.pop(item.number, None)
+            self.attempts.pop(item.message_number, None)
         self.tell(
             i.AttemptEnded(
-                item.number,
+                item.message_number,
                 item.attempt,
                 endpoint,
                 outcome.result,
                 max(1, latency),
                 over,
-                outcome.wait_us,
-                item.fresh if item.begun else None,
-                outcome.spoilt,
+                outcome.retry_after_us,
+                item.on_new_connection if item.started else None,
+                outcome.malformed,
             )
         )
         self._maybe_exit()
@@ -547,7 +552,7 @@
             entries.append(entry)
             self.entries[entry.endpoint], self.raw[entry.endpoint] = entry, target
             self.dests.add(entry.destination)
-            self.calls.place(entry.endpoint, address)
+            self.calls.set_address(entry.endpoint, address)
         if form is not i.EndpointListForm.CACHED:
             self.heard.set()
         if form is not i.EndpointListForm.DELTA:
@@ -558,7 +563,7 @@
             if entry.state is i.EndpointState.REMOVED:
                 self._gone(entry.endpoint)
             elif entry.state is i.EndpointState.DRAINING:
-                self.calls.close_idle(entry.endpoint)
+                self.calls.close_idle_connections(entry.endpoint)
         self.tell(i.EndpointListReceived(form, tuple(entries)))
         for entry in entries:  # in the same turn: the list lifts no cordon, nor does a new number
             if self.names.get(entry.endpoint) in self.journal.cordoned:
@@ -576,7 +581,7 @@
         if entry := self.entries.pop(endpoint, None):
             self.waits.pop((entry.destination, endpoint), None)
         self.uids.pop(self.names.pop(endpoint, ""), None)  # an id that has gone does not come again
-        self.calls.forget(endpoint)
+        self.calls.remove_endpoint(endpoint)
 
     def _entry(self, target: dict[str, Any]) -> tuple[i.EndpointEntry, tuple[str, int]]:
         uid = str(target["uid"])
@@ -610,11 +615,11 @@
             i.ShutdownScheduled(self.clock())
         )  # what has come in is answered, but no call begins
         self.turn()
-        self.calls.drop_unbegun()
+        self.calls.abandon_unstarted()
         self.turn()
         self.frozen = True
         self.relayed.clear()
-        self.calls.hooks = self._relaying(relay)
+        self.calls.observer = self._relaying(relay)
         self.moving = [c for c in self.clients.clients if c.portable]
         brain = capture(self.policy.state).to_wire()
         given = {
@@ -631,24 +636,24 @@
         self.journal.close()
         return given, fds, states
 
-    def _relaying(self, relay: Callable[[list[Any]], None]) -> Hooks:
+    def _relaying(self, relay: Callable[[list[Any]], None]) -> Any:
         """Hooks that tell the process that comes after, and keep what they told in case it never owns."""
 
-        def ended(item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
+        def ended(item: CallAttempt, endpoint: int, outcome: AttemptOutcome, latency: int) -> None:
             self.relayed.append((self._ended, (item, endpoint, outcome, latency)))
             relay(
                 [
                     "ended",
-                    item.number,
+                    item.message_number,
                     item.attempt,
                     endpoint,
-                    item.begun,
-                    item.fresh,
+                    item.started,
+                    item.on_new_connection,
                     latency,
                     outcome.result.value,
-                    outcome.over,
-                    outcome.wait_us,
-                    outcome.spoilt,
+                    outcome.message_ended,
+                    outcome.retry_after_us,
+                    outcome.malformed,
                 ]
             )
 
@@ -660,20 +665,20 @@
             self.relayed.append((self._reported, (endpoint, values)))
             relay(["load", endpoint, values])
 
-        return Hooks(
-            lambda endpoint: False,
-            self.counters.written,
-            lambda items: False,
-            ended,
-            told_wait,
-            reported,
-            lambda endpoint, result, latency: None,
+        return SimpleNamespace(
+            may_write=lambda endpoint: False,
+            call_written=self.counters.written,
+            attempts_starting=lambda items: False,
+            attempt_ended=ended,
+            retry_after_received=told_wait,
+            load_report_received=reported,
+            health_check_ended=lambda endpoint, result, latency: None,
         )
 
     def thaw(self) -> None:
         """The other process has gone without owning: go on."""
         self.frozen = False
-        self.calls.hooks = self.hooks
+        self.calls.observer = self.hooks
         for told, values in self.relayed:
             told(*values)
         self.clients.go_on()
@@ -698,7 +703,7 @@
     def _leave(self) -> None:
         for client in list(self.clients.clients):
             client.finish()
-        if self.calls.out or self.clients.clients or not self.handed_over():
+        if self.calls.in_flight or self.clients.clients or not self.handed_over():
             self.loop.call_later(CLOSE_S, self._leave)
         else:
             self._exit()
@@ -717,7 +722,7 @@
             self._inherited_ended(
                 number,
                 attempt,
-                Outcome(i.AttemptResult(result), over, wait_us, spoilt),
+                AttemptOutcome(i.AttemptResult(result), over, wait_us, spoilt),
                 latency,
                 begun,
                 fresh,
@@ -728,14 +733,16 @@
         if self.inherited:
             log.warning("%d calls of the process before may have run", len(self.inherited))
         for number, attempt in list(self.inherited):
-            self._inherited_ended(number, attempt, Outcome(i.AttemptResult.CANCELLED), 0, True, False)
+            self._inherited_ended(number, attempt, AttemptOutcome(i.AttemptResult.CANCELLED), 0, True, False)
 
     def _inherited_ended(
-        self, number: int, attempt: int, outcome: Outcome, latency: int, begun: bool, fresh: bool
+        self, number: int, attempt: int, outcome: AttemptOutcome, latency: int, begun: bool, fresh: bool
     ) -> None:
         endpoint = self.inherited.pop((number, attempt), None)
         if endpoint is not None:
-            item = Item(number, attempt, "", "", b"", 0, fresh=fresh, begun=begun, ended=True)
+            item = CallAttempt(
+                number, attempt, "", "", b"", 0, on_new_connection=fresh, started=begun, ended=True
+            )
             self._ended(item, endpoint, outcome, latency)
 
     # Operators
@@ -789,7 +796,7 @@
             raise Refused(f"can't be recorded: {error}") from None
         log.info("endpoint %s is %s", uid, "cordoned" if on else "put back")
         if (endpoint := self.uids.get(uid)) is not None:
-            self.calls.close_idle(endpoint)
+            self.calls.close_idle_connections(endpoint)
             self.tell(i.EndpointCordoned(endpoint, on))
 
     def quiesce(self) -> None:
@@ -846,7 +853,7 @@
 
     def _maybe_exit(self) -> None:
         # What still waits for its turn may be sent until the last call must have begun.
-        done = not self.calls.out and not self.journal.held and not self.events and not self.arrived
+        done = not self.calls.in_flight and not self.journal.held and not self.events and not self.arrived
         if self.closing_at and done and not self.clients.clients and not self.clients.listening:
             self._exit()
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Every row of the outcome table, and the connections, over loopback sockets."""
+"""Every row of the table of outcomes, and the connections, over loopback sockets."""
 
 import asyncio
 import socket
@@ -8,114 +8,134 @@
 from loopback import Endpoint, answer, bounded
 
 from message_relay.model import AttemptResult
-from message_relay.server.endpoint_calls import client as c
-from message_relay.server.http.connection import Connection, Exchange
+from message_relay.server.endpoint_calls import AttemptOutcome, CallAttempt, EndpointCallClient
+from message_relay.server.http.connection import HttpConnection
+from message_relay.server.http.response_handler import ResponseHandler
 
 
-class Outcomes:
-    """Calls with a host that lets all through and keeps what it is told."""
+class RecordingObserver:
+    """Has a client, lets all its calls through and keeps what is reported."""
 
     def __init__(self, **changes):
-        self.ended, self.waits, self.probes, self.begun = asyncio.Queue(), [], asyncio.Queue(), []
-        self.reports, self.sent = [], []
+        self.ended, self.waits, self.health, self.started = asyncio.Queue(), [], asyncio.Queue(), []
+        self.load_reports, self.written = [], []
         self.allowed = True
-        hooks = c.Hooks(
-            lambda e: self.allowed,
-            self.sent.append,
-            self.begin,
-            self.end,
-            lambda e, w: self.waits.append(w),
-            lambda e, values: self.reports.append(values),
-            lambda e, r, latency: self.probes.put_nowait(r),
-        )
-        given = {"idle_us": 10_000_000, "connect_us": 1_000_000, "max_idle": 20, **changes}
-        self.calls = c.Calls(asyncio.get_running_loop(), hooks, **given)
+        options = {
+            "connection_idle_us": 10_000_000,
+            "connect_timeout_us": 1_000_000,
+            "max_idle_connections": 20,
+            **changes,
+        }
+        self.client = EndpointCallClient(asyncio.get_running_loop(), self, **options)
+
+    def may_write(self, endpoint):
+        return self.allowed
 
-    def begin(self, items):
-        self.begun += [i.id for i in items]
+    def call_written(self, message_count):
+        self.written.append(message_count)
+
+    def attempts_starting(self, attempts):
+        self.started += [attempt.message_id for attempt in attempts]
         return True
 
-    def end(self, item, endpoint, outcome, latency):
-        self.ended.put_nowait((item.id, outcome))
+    def attempt_ended(self, attempt, endpoint, outcome, latency_us):
+        self.ended.put_nowait((attempt.message_id, outcome))
+
+    def retry_after_received(self, endpoint, wait_us):
+        self.waits.append(wait_us)
 
-    async def send(self, port, *ids, timeout_us=5_000_000, body=b"x"):
-        self.calls.place(1, ("127.0.0.1", port))
-        items = [c.Item(n, 0, i, "k" + i, body, timeout_us) for n, i in enumerate(ids)]
-        self.calls.send(1, items)
-        return [await bounded(self.ended.get()) for _ in ids]
+    def load_report_received(self, endpoint, values):
+        self.load_reports.append(values)
+
+    def health_check_ended(self, endpoint, result, latency_us):
+        self.health.put_nowait(result)
+
+    async def send(self, port, *message_ids, timeout_us=5_000_000, body=b"x"):
+        self.client.set_address(1, ("127.0.0.1", port))
+        attempts = [
+            CallAttempt(number, 0, message_id, "k" + message_id, body, timeout_us)
+            for number, message_id in enumerate(message_ids)
+        ]
+        self.client.send(1, attempts)
+        return [await bounded(self.ended.get()) for _ in message_ids]
 
 
 def free_port():
-    with socket.socket() as s:
-        s.bind(("127.0.0.1", 0))
-        return s.getsockname()[1]
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        return listener.getsockname()[1]
 
 
 @pytest.mark.parametrize(
     ("step", "outcome"),
     [
-        (answer(200), c.Outcome(AttemptResult.OK, over=True)),
-        (answer(500), c.Outcome(AttemptResult.ERROR)),
-        (answer(429, Retry_After="0.25"), c.Outcome(AttemptResult.REJECTED, wait_us=250_000)),
-        (answer(503), c.Outcome(AttemptResult.REJECTED)),
-        (answer(503, Slots_Taken="1"), c.Outcome(AttemptResult.NOT_ATTEMPTED)),
-        (answer(504), c.Outcome(AttemptResult.NOT_ATTEMPTED)),
-        (answer(410), c.Outcome(AttemptResult.NOT_ATTEMPTED, over=True)),
-        (answer(413), c.Outcome(AttemptResult.NOT_ATTEMPTED)),
-        ("reset", c.Outcome(AttemptResult.RESET)),
-        ("hang", c.Outcome(AttemptResult.TIMEOUT)),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal", c.Outcome(AttemptResult.OK, over=True)),
-        (b"nonsense\r\n\r\n", c.Outcome(AttemptResult.ERROR, spoilt=True)),
+        (answer(200), AttemptOutcome(AttemptResult.OK, message_ended=True)),
+        (answer(500), AttemptOutcome(AttemptResult.ERROR)),
+        (answer(429, Retry_After="0.25"), AttemptOutcome(AttemptResult.REJECTED, retry_after_us=250_000)),
+        (answer(503), AttemptOutcome(AttemptResult.REJECTED)),
+        (answer(503, Slots_Taken="1"), AttemptOutcome(AttemptResult.NOT_ATTEMPTED)),
+        (answer(504), AttemptOutcome(AttemptResult.NOT_ATTEMPTED)),
+        (answer(410), AttemptOutcome(AttemptResult.NOT_ATTEMPTED, message_ended=True)),
+        (answer(413), AttemptOutcome(AttemptResult.NOT_ATTEMPTED)),
+        ("reset", AttemptOutcome(AttemptResult.RESET)),
+        ("hang", AttemptOutcome(AttemptResult.TIMEOUT)),
+        (
+            b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal",
+            AttemptOutcome(AttemptResult.OK, message_ended=True),
+        ),
+        (b"nonsense\r\n\r\n", AttemptOutcome(AttemptResult.ERROR, malformed=True)),
     ],
 )
-def test_each_answer_has_its_outcome(step, outcome):
+def test_each_response_has_its_outcome(step, outcome):
     async def run():
         endpoint = await Endpoint(step).start()
-        o = Outcomes()
+        observer = RecordingObserver()
         timeout = 100_000 if step == "hang" else 5_000_000
-        assert await o.send(endpoint.port, "a", timeout_us=timeout) == [("a", outcome)]
+        assert await observer.send(endpoint.port, "a", timeout_us=timeout) == [("a", outcome)]
         path, headers, body, _ = await endpoint.call()
         assert (path, headers["x-request-id"], headers["idempotency-key"]) == ("/events", "a", "ka")
         assert body == b"x"
         assert 1 <= int(headers["x-timeout-ms"]) <= 5000
-        if step == "hang":  # the slot is held until the connection ends: a timed-out call closes it
+        if step == "hang":  # the slot is taken until the connection ends: a timed-out call closes it
             await bounded(endpoint.ended.get())
-        assert o.waits == ([250_000] if outcome.wait_us else [])
-        o.calls.close()
+        assert observer.waits == ([250_000] if outcome.retry_after_us else [])
+        observer.client.close()
         await endpoint.stop()
 
     asyncio.run(run())
 
 
-def test_a_refused_connection_never_ran():
+def test_a_rejected_connection_was_not_attempted():
     async def run():
-        o = Outcomes()
-        assert await o.send(free_port(), "a") == [("a", c.Outcome(AttemptResult.CONNECT_FAILED))]
-        assert o.begun == []  # nothing was written, so no attempt is recorded
+        observer = RecordingObserver()
+        assert await observer.send(free_port(), "a") == [("a", AttemptOutcome(AttemptResult.CONNECT_FAILED))]
+        assert observer.started == []  # nothing was written, so no attempt is recorded
 
     asyncio.run(run())
 
 
-def test_a_connection_that_never_comes_up_never_ran():
+def test_a_connection_that_is_never_established_was_not_attempted():
     # A full accept queue swallows the handshake, as a machine that is cut off does.
     async def run():
-        with socket.socket() as s:
-            s.bind(("127.0.0.1", 0))
-            s.listen(0)
-            fill = [socket.socket() for _ in range(4)]
-            for f in fill:
-                f.setblocking(False)
-                f.connect_ex(s.getsockname())
+        with socket.socket() as listener:
+            listener.bind(("127.0.0.1", 0))
+            listener.listen(0)
+            fillers = [socket.socket() for _ in range(4)]
+            for filler in fillers:
+                filler.setblocking(False)
+                filler.connect_ex(listener.getsockname())
             await asyncio.sleep(0.05)
-            o = Outcomes(connect_us=100_000)
-            assert await o.send(s.getsockname()[1], "a") == [("a", c.Outcome(AttemptResult.CONNECT_FAILED))]
-            for f in fill:
-                f.close()
+            observer = RecordingObserver(connect_timeout_us=100_000)
+            assert await observer.send(listener.getsockname()[1], "a") == [
+                ("a", AttemptOutcome(AttemptResult.CONNECT_FAILED))
+            ]
+            for filler in fillers:
+                filler.close()
 
     asyncio.run(run())
 
 
-def test_a_break_before_the_last_byte_never_ran():
+def test_a_connection_lost_before_the_last_byte_was_not_attempted():
     # asyncio's transports would count the request as written once it is in their buffer.
     async def run():
         listener = socket.socket()
@@ -133,15 +153,15 @@
         loop = asyncio.get_running_loop()
         up, lost = loop.create_future(), loop.create_future()
 
-        class Seen(Exchange):
-            def lost(self, written):
-                lost.set_result(written)
+        class LossRecorder(ResponseHandler):
+            def connection_lost(self, request_written):
+                lost.set_result(request_written)
 
-        connection = Connection(loop, listener.getsockname())
+        connection = HttpConnection(loop, listener.getsockname())
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         connection.connect(up.set_result)
         assert await bounded(up) is None
-        connection.request("POST", "/events", [], b"x" * 4_000_000, Seen())
+        connection.send_request("POST", "/events", [], b"x" * 4_000_000, LossRecorder())
         assert await bounded(lost) is False
         thread.join()
         listener.close()
@@ -149,18 +169,18 @@
     asyncio.run(run())
 
 
-def test_a_connection_is_used_again_but_not_a_stale_one():
+def test_a_connection_is_reused_unless_it_is_stale():
     async def run():
         endpoint = await Endpoint().start()
-        o = Outcomes()
-        for ident in "abc":
-            await o.send(endpoint.port, ident)
+        observer = RecordingObserver()
+        for message_id in "abc":
+            await observer.send(endpoint.port, message_id)
         assert endpoint.accepted == 1
         endpoint.drop()  # closed as idle: a request written to it would end as a reset
         await bounded(endpoint.ended.get())
-        assert (await o.send(endpoint.port, "d"))[0][1].result is AttemptResult.OK
+        assert (await observer.send(endpoint.port, "d"))[0][1].result is AttemptResult.OK
         assert endpoint.accepted == 2
-        o.calls.close()
+        observer.client.close()
         await endpoint.stop()
 
     asyncio.run(run())
@@ -169,16 +189,16 @@
 def test_idle_connections_close_well_before_the_endpoint_would():
     async def run():
         endpoint = await Endpoint().start()
-        o = Outcomes(idle_us=100_000)
-        await o.send(endpoint.port, "a")
+        observer = RecordingObserver(connection_idle_us=100_000)
+        await observer.send(endpoint.port, "a")
         await bounded(endpoint.ended.get())  # this side ended it
-        assert not o.calls.pools[1].idle
+        assert not observer.client.pools[1].idle
         await endpoint.stop()
 
     asyncio.run(run())
 
 
-def test_a_bundle_has_an_end_for_each():
+def test_a_batch_has_an_outcome_for_each_message():
     async def run():
         rows = (
             b'[{"id":"a","state":"done"},{"id":"b","state":"failed"},{"id":"c","state":"busy"},'
@@ -187,59 +207,63 @@
         endpoint = await Endpoint(
             answer(200, rows, Retry_After="0.5"), answer(429, Retry_After="1"), answer(200, b"[]"), "reset"
         ).start()
-        o = Outcomes()
-        ends = dict(await o.send(endpoint.port, *"abcde"))
+        observer = RecordingObserver()
+        outcomes = dict(await observer.send(endpoint.port, *"abcde"))
         path, headers, body, _ = await endpoint.call()
         assert path == "/events/bundle" and b'"key":"ka"' in body and b'"body":"eA=="' in body
-        assert {o.wait_us for o in ends.values()} == {500_000}
-        assert {i: (o.result, o.over) for i, o in ends.items()} == {
+        assert {outcome.retry_after_us for outcome in outcomes.values()} == {500_000}
+        assert {name: (outcome.result, outcome.message_ended) for name, outcome in outcomes.items()} == {
             "a": (AttemptResult.OK, True),
             "b": (AttemptResult.ERROR, False),
             "c": (AttemptResult.REJECTED, False),
             "d": (AttemptResult.NOT_ATTEMPTED, True),
             "e": (AttemptResult.NOT_ATTEMPTED, False),
         }
-        assert {o.result for _, o in await o.send(endpoint.port, *"fg")} == {AttemptResult.REJECTED}
-        assert {o.result for _, o in await o.send(endpoint.port, *"hi")} == {
+        assert {outcome.result for _, outcome in await observer.send(endpoint.port, *"fg")} == {
+            AttemptResult.REJECTED
+        }
+        assert {outcome.result for _, outcome in await observer.send(endpoint.port, *"hi")} == {
             AttemptResult.ERROR
-        }  # may have run
-        assert {o.result for _, o in await o.send(endpoint.port, *"jk")} == {AttemptResult.RESET}
-        assert o.waits == [500_000, 1_000_000]
+        }  # may have been applied
+        assert {outcome.result for _, outcome in await observer.send(endpoint.port, *"jk")} == {
+            AttemptResult.RESET
+        }
+        assert observer.waits == [500_000, 1_000_000]
         await endpoint.stop()
 
     asyncio.run(run())
 
 
-def test_what_may_not_be_written_any_more_is_reported_as_never_run():
-    # News of a wait or a drain can come while the connection for a call is being made.
+def test_what_may_not_be_written_any_more_is_reported_as_not_attempted():
+    # A Retry-After or a drain can arrive while the connection for a call is being established.
     async def run():
         endpoint = await Endpoint().start()
-        o = Outcomes()
-        o.allowed = False
-        assert await o.send(endpoint.port, "a") == [("a", c.Outcome(AttemptResult.NOT_ATTEMPTED))]
-        assert endpoint.calls.empty() and o.begun == []
-        o.calls.close()
+        observer = RecordingObserver()
+        observer.allowed = False
+        assert await observer.send(endpoint.port, "a") == [("a", AttemptOutcome(AttemptResult.NOT_ATTEMPTED))]
+        assert endpoint.calls.empty() and observer.started == []
+        observer.client.close()
         await endpoint.stop()
 
     asyncio.run(run())
 
 
-def test_probes():
+def test_health_checks():
     async def run():
         endpoint = await Endpoint(answer(200), answer(503), "reset").start()
-        o = Outcomes()
-        o.calls.place(1, ("127.0.0.1", endpoint.port))
+        observer = RecordingObserver()
+        observer.client.set_address(1, ("127.0.0.1", endpoint.port))
         for wanted in (AttemptResult.OK, AttemptResult.REJECTED, AttemptResult.RESET):
-            o.calls.probe(1)
-            assert await bounded(o.probes.get()) is wanted
+            observer.client.check_health(1)
+            assert await bounded(observer.health.get()) is wanted
         assert (await endpoint.call())[0] == "/alive"
-        o.calls.close()
+        observer.client.close()
         await endpoint.stop()
 
     asyncio.run(run())
 
 
-def test_an_end_that_the_loop_has_not_read_yet_is_seen_before_reuse():
+def test_a_close_that_the_loop_has_not_read_yet_is_noticed_before_reuse():
     # Closed by the endpoint in the moment of the call: written to it, the call would count as a reset.
     async def run():
         listener = socket.create_server(("127.0.0.1", 0))
@@ -256,14 +280,14 @@
 
         thread = threading.Thread(target=serve)
         thread.start()
-        o = Outcomes()
+        observer = RecordingObserver()
         port = listener.getsockname()[1]
-        await o.send(port, "a")
+        await observer.send(port, "a")
         end.set()
-        ended.wait(10)  # holds the loop: nothing tells it of the end
-        assert (await o.send(port, "b"))[0][1].result is AttemptResult.OK
-        assert o.calls.opened == 2
-        o.calls.close()
+        ended.wait(10)  # blocks the loop, which cannot notice the close
+        assert (await observer.send(port, "b"))[0][1].result is AttemptResult.OK
+        assert observer.client.opened == 2
+        observer.client.close()
         thread.join()
         listener.close()
 
@@ -282,13 +306,15 @@
         ("", []),
     ],
 )
-def test_a_load_report_is_passed_on_if_it_can_be_read(text, values):
+def test_a_load_report_is_forwarded_if_it_is_well_formed(text, values):
     async def run():
         endpoint = await Endpoint(answer(200, X_Server_Load=text)).start()
-        o = Outcomes()
-        assert await o.send(endpoint.port, "a") == [("a", c.Outcome(AttemptResult.OK, over=True))]
-        assert o.reports == values
-        o.calls.close()
+        observer = RecordingObserver()
+        assert await observer.send(endpoint.port, "a") == [
+            ("a", AttemptOutcome(AttemptResult.OK, message_ended=True))
+        ]
+        assert observer.load_reports == values
+        observer.client.close()
         await endpoint.stop()
 
     asyncio.run(run())
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""What belongs to a connection is told apart from what belongs to its endpoint."""
+"""Faults of a connection are distinguished from faults of its endpoint."""
 
 import asyncio
 import socket
@@ -7,7 +7,7 @@
 from loopback import Endpoint, answer, courier, read_request
 
 
-class Slow(Endpoint):
+class SlowFirstRequestEndpoint(Endpoint):
     """The first request on a connection takes longer, as a TLS handshake would make it."""
 
     async def serve(self, reader, writer):
@@ -22,8 +22,8 @@
             writer.write(answer(200))
 
 
-class Small(Endpoint):
-    """Takes so many connections at once; on another it answers 503 and closes."""
+class LimitedConnectionsEndpoint(Endpoint):
+    """Accepts a limited number of connections at once; on another it responds 503 and closes."""
 
     async def serve(self, reader, writer):
         self.accepted += 1
@@ -38,8 +38,8 @@
             writer.write(answer(200))
 
 
-class Torn(Endpoint):
-    """Resets a kept connection at its next request."""
+class ResettingEndpoint(Endpoint):
+    """Resets a reused connection at its next request."""
 
     async def serve(self, reader, writer):
         self.accepted += 1
@@ -51,63 +51,63 @@
         writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
 
 
-async def place(fleet, endpoint):
+async def add_endpoint(fleet, endpoint):
     fleet.endpoints["a"] = await endpoint.start()
     fleet.discovery.target("a", endpoint.port, 7)
     return endpoint
 
 
-async def all_done(fleet):
+async def all_completed(fleet):
     while fleet.host.journal.held:
         await asyncio.sleep(0.01)
 
 
 @courier
-async def test_the_first_call_on_a_new_connection_has_time_to_set_it_up(fleet):
-    # The time-out learned on kept connections was too short for it: each one timed out, was closed and made
-    # room for the next that timed out, until the endpoint counted as down.
-    e = await place(fleet, Slow())
+async def test_the_first_call_on_a_new_connection_has_time_to_establish_it(fleet):
+    # The time-out learned on reused connections was too short for it: each call timed out, its connection was
+    # closed and replaced by one that timed out, too, until the circuit of the endpoint opened.
+    endpoint = await add_endpoint(fleet, SlowFirstRequestEndpoint())
     client = await fleet.inside()
-    for n in range(60):
-        await client.put(f"m{n}")
-        await all_done(fleet)
-    assert e.accepted == 1 and e.calls.qsize() == 60
-    client.writer.write(b"".join(client.message(f"n{n}") for n in range(4)))
+    for number in range(60):
+        await client.put(f"m{number}")
+        await all_completed(fleet)
+    assert endpoint.accepted == 1 and endpoint.calls.qsize() == 60
+    client.writer.write(b"".join(client.message(f"n{number}") for number in range(4)))
     assert [await client.line() for _ in range(4)] == ["+OK"] * 4
-    await all_done(fleet)
-    assert e.accepted > 1 and e.calls.qsize() == 64  # one attempt each
+    await all_completed(fleet)
+    assert endpoint.accepted > 1 and endpoint.calls.qsize() == 64  # one attempt each
     assert fleet.discovery.finals.empty()
 
 
 @courier
 async def test_a_full_connection_table_is_a_failed_connection_and_no_overload(fleet):
-    e = await place(fleet, Small())
+    endpoint = await add_endpoint(fleet, LimitedConnectionsEndpoint())
     client = await fleet.inside()
-    for n in range(8):
-        await client.put(f"m{n}")
-        await all_done(fleet)
+    for number in range(8):
+        await client.put(f"m{number}")
+        await all_completed(fleet)
     for burst in range(6):
-        client.writer.write(b"".join(client.message(f"b{burst}-{n}") for n in range(6)))
+        client.writer.write(b"".join(client.message(f"b{burst}-{number}") for number in range(6)))
         assert [await client.line() for _ in range(6)] == ["+OK"] * 6
-        await all_done(fleet)
-    assert fleet.discovery.finals.empty()  # none was refused: kept connections take them in turn
-    assert e.calls.qsize() < 44 + 12  # and what the table takes is learned
+        await all_completed(fleet)
+    assert fleet.discovery.finals.empty()  # none was rejected: reused connections carry them in turn
+    assert endpoint.calls.qsize() < 44 + 12  # and the limit is learned
 
 
 @courier
-async def test_unsafe_messages_get_a_new_connection_where_kept_ones_are_torn(fleet):
-    # One that was out on a torn connection may have run and is lost for good.
-    await place(fleet, Torn())
+async def test_non_idempotent_messages_get_a_new_connection_where_reused_ones_are_reset(fleet):
+    # One in flight on a reset connection may have been applied and cannot be attempted again.
+    await add_endpoint(fleet, ResettingEndpoint())
     client = await fleet.inside()
-    for n in range(6):
-        await client.put(f"s{n}")
-        await all_done(fleet)
+    for number in range(6):
+        await client.put(f"s{number}")
+        await all_completed(fleet)
     assert fleet.host.policy.state.statistics.reset_rates.reused > 0.08
-    for n in range(8):
-        await client.put(f"u{n}", kind="unsafe")
-        await all_done(fleet)
+    for number in range(8):
+        await client.put(f"u{number}", kind="unsafe")
+        await all_completed(fleet)
     assert fleet.discovery.finals.empty()
-    circuits = [ep.circuit for ep in fleet.host.policy.state.endpoints.values()]
+    circuits = [state.circuit for state in fleet.host.policy.state.endpoints.values()]
     assert all(
-        not c.open and c.slow_start_since_us < 0 for c in circuits
-    )  # it answers: no outage, no slow start
+        not circuit.open and circuit.slow_start_since_us < 0 for circuit in circuits
+    )  # it responds: no outage, no slow start
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -43,7 +43,7 @@
 
 
 def turned_away(w):
-    w.head(503, {})
+    w.headers_received(503, {})
     w.loop.now += w.loop.delay
     return w.loop.delay
 
@@ -107,22 +107,22 @@
             error = OSError("refused") if self.how == "refused" else None
             self.loop.soon.append(lambda: self.closed or done(error))
 
-    def request(self, method, target, headers, body, exchange):
+    def send_request(self, method, target, headers, body, handler):
         self.targets.append(target)
         if self.how in ("turned away", "with a body"):
-            exchange.head(503, {})
+            handler.headers_received(503, {})
             if self.how == "with a body":
-                exchange.data(b"busy\n")  # in the same piece
+                handler.body_received(b"busy\n")  # in the same piece
         elif self.how == "reset":
-            exchange.lost(True)
+            handler.connection_lost(True)
         elif self.how != "silent":
-            exchange.head(200, {})
+            handler.headers_received(200, {})
             if self.how in ("cut", "half a line"):
-                exchange.data(b'{"rev":7,"all":tr')
+                handler.body_received(b'{"rev":7,"all":tr')
             if self.how == "cut":
-                exchange.lost(True)
+                handler.connection_lost(True)
             elif self.how == "good":
-                exchange.data(b'{"rev":9,"all":true,"targets":[]}\n')
+                handler.body_received(b'{"rev":9,"all":true,"targets":[]}\n')
 
     def close(self):
         self.closed = True
@@ -147,7 +147,7 @@
     random.seed(seed)
     told, loop = [], Loop()
     loop.now = at
-    monkeypatch.setattr(discovery, "Connection", Scripted)
+    monkeypatch.setattr(discovery, "HttpConnection", Scripted)
     Scripted.script, Scripted.asked, Scripted.targets = [*script, "good"], [], []
     w = Watch(loop, ("127.0.0.1", 1), 4, told.append, couriers)
     w.move(("127.0.0.1", 2)) if moved else w.open()
@@ -199,8 +199,8 @@
     w = watch(40)
     for _ in range(10):
         turned_away(w)
-    w.head(200, {})
-    w.data(b'{"rev":5,"all":false,"targets":[]}\n')
+    w.headers_received(200, {})
+    w.body_received(b'{"rev":5,"all":false,"targets":[]}\n')
     assert w.rev == 5 and turned_away(w) <= 2.0
 
 
@@ -211,8 +211,8 @@
 def test_a_line_that_cannot_be_read_is_followed_by_a_wait_and_a_whole_list(line):
     w = watch(40)
     w.rev = 5
-    w.head(200, {})
-    w.data(line + b"\n")
+    w.headers_received(200, {})
+    w.body_received(line + b"\n")
     assert w.rev == 0 and w.loop.delay >= 0.5
 
 
@@ -220,15 +220,15 @@
     """What a watch tells of these pieces of an answer, and the watch."""
     told = []
     w = Watch(Loop(), ("127.0.0.1", 1), rev, told.append, 40)
-    w.head(200, {})
+    w.headers_received(200, {})
     for piece in pieces:
-        w.data(piece)
+        w.body_received(piece)
     return told, w
 
 
 def test_a_list_that_is_cut_is_not_told_and_asked_for_again_from_the_version_held():
     told, w = told_by(b'{"rev":5,"all":false,"targets":[]}\n', b'{"rev":6,"all":true,"targets":[{"uid":"a"')
-    w.lost(True)
+    w.connection_lost(True)
     assert [c["rev"] for c in told] == [5] and w.rev == 5 and w.loop.delay >= 0.5
 
 
@@ -290,9 +290,9 @@
     w, waits = watch(200), []
     for _ in range(40):
         if broken == "ended":
-            w.end(False)
+            w.response_complete(False)
         elif broken == "reset":
-            w.lost(True)
+            w.connection_lost(True)
         elif broken == "not up":
             w._connected(OSError("refused"))
         else:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -25,8 +25,8 @@
         "open": journal.open,
         "open keys": len(journal.open_keys),
         "pools": len(calls.pools),
-        "out": len(calls.out),
-        "idle": calls.idle - sum(len(p.idle) for p in calls.pools.values()),
+        "in_flight": len(calls.in_flight),
+        "idle": calls.idle_connections - sum(len(p.idle) for p in calls.pools.values()),
         "endpoints": len(state.endpoints),
         "messages": len(state.messages),
         "calls": len(state.calls),
@@ -53,7 +53,7 @@
         fleet.discovery.change(f"e{n}", state="in_service")
         fleet.discovery.change(f"e{n - 1}", state="terminated")
         del fleet.discovery.targets[f"e{n - 1}"]
-        while host.watch.rev != fleet.discovery.rev or host.journal.held or host.calls.out:
+        while host.watch.rev != fleet.discovery.rev or host.journal.held or host.calls.in_flight:
             await asyncio.sleep(0.002)
         if n in (10, 59):
             await asyncio.sleep(0.05)
--- a/tests/test_wide_lists.py
+++ b/tests/test_wide_lists.py
@@ -51,16 +51,16 @@
             await fleet.endpoint("a")
             await fleet.inside()
             host = fleet.host
-            host.watch.head(200, {})
+            host.watch.headers_received(200, {})
             began = time.process_time()
             for piece in form(targets()):
-                host.watch.data(piece)
+                host.watch.body_received(piece)
             host.turn()
             took = time.process_time() - began
             assert len([e for e in host.entries.values() if host.names[e.endpoint].startswith("s-")]) == MANY
             assert len(host.policy.state.endpoints) >= MANY
             for piece in form(targets("terminating")):
-                host.watch.data(piece)
+                host.watch.body_received(piece)
             host.turn()
             assert not [
                 ep
@@ -78,8 +78,8 @@
         async with Fleet(tmp_path) as fleet:
             await fleet.endpoint("a")
             await fleet.inside()
-            fleet.host.watch.head(200, {})
-            fleet.host.watch.data(line(5, True, targets()))
+            fleet.host.watch.headers_received(200, {})
+            fleet.host.watch.body_received(line(5, True, targets()))
             for target in targets():
                 fleet.host.cordon(target["uid"])
             assert len(fleet.host.journal.cordoned) == MANY
