--- a/message_relay/__main__.py
+++ b/message_relay/__main__.py
@@ -1,4 +1,4 @@
-"""The real courier's process: signals and wiring."""
+"""`python -m message_relay`: one instance of the relay. Configuration, signals and wiring."""
 
 from __future__ import annotations
 
@@ -7,80 +7,72 @@
 import os
 import signal
 import sys
-import time
 from typing import Any
 
-from message_relay.server.configuration import Config, ConfigError, load
-from message_relay.server.admin_console import Console
-from message_relay.server.hot_restart import Predecessor, socket_path, take_over
-from message_relay.server.relay_server import Host
-from message_relay.server.reload import Reloader
+from message_relay.server.admin_console import AdminConsole
+from message_relay.server.configuration import ConfigurationError, RelayConfiguration, load_configuration
+from message_relay.server.hot_restart.channel import socket_path
+from message_relay.server.hot_restart.new_process import take_over
+from message_relay.server.hot_restart.old_process import HotRestartListener
+from message_relay.server.log_output import configure_logging
+from message_relay.server.relay_server import RelayServer
+from message_relay.server.reload import ConfigurationReloader
 
+EXIT_OK, EXIT_CANNOT_START, EXIT_BAD_CONFIGURATION = 0, 1, 2
+log = logging.getLogger(__name__)
 
-class Bounded(logging.Filter):
-    """At most so many lines a second: a flood of them would stall the loop."""
 
-    def __init__(self, a_second: int) -> None:
-        super().__init__()
-        self.a_second, self.second, self.count = a_second, 0, 0
+async def serve(configuration: RelayConfiguration) -> None:
+    """Run one instance until it is told to end or another process has taken over.
 
-    def filter(self, record: logging.LogRecord) -> bool:
-        second = int(time.monotonic())
-        if second != self.second:
-            self.second, self.count = second, 0
-        self.count += 1
-        return self.count <= self.a_second
-
-
-async def serve(config: Config) -> None:
+    OSError if it cannot start.
+    """
     loop = asyncio.get_running_loop()
-    host = Host(loop, config)
-    console = Console(host)
-    reloader = Reloader(loop, os.environ, host.move, host.counters.reconfigured)
-    loop.add_signal_handler(signal.SIGHUP, reloader.hup)  # unhandled it would end the process
-    loop.add_signal_handler(signal.SIGTERM, host.terminate)
-    loop.add_signal_handler(signal.SIGINT, host.terminate)
-    if config.console is not None:
-        await console.listen(config.console)  # before all is ready: until then health says no
-    host.warm()
-    path = socket_path(os.environ, config.state)
-    starting = loop.create_task(take_over(loop, host, path))
-    waiting: set[asyncio.Future[Any]] = {starting, host.closed}
-    await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
-    predecessor = Predecessor(loop, host, path)
+    server = RelayServer(loop, configuration)
+    console = AdminConsole(server.operations)
+    reloader = ConfigurationReloader(loop, os.environ, server.move_discovery, server.metrics.record_reload)
+    loop.add_signal_handler(signal.SIGHUP, reloader.reload)  # unhandled it would end the process
+    loop.add_signal_handler(signal.SIGTERM, server.lifecycle.shut_down)
+    loop.add_signal_handler(signal.SIGINT, server.lifecycle.shut_down)
+    if configuration.console_address is not None:
+        await console.listen(configuration.console_address)  # before all is ready: until then health says no
+    server.prepare()
+    path = socket_path(os.environ, configuration.state_directory)
+    starting = loop.create_task(take_over(loop, server, path))
+    first: set[asyncio.Future[Any]] = {starting, server.lifecycle.closed}
+    await asyncio.wait(first, return_when=asyncio.FIRST_COMPLETED)
+    listener = HotRestartListener(loop, server.transfer, path)
     if starting.done():
-        port = starting.result()
-        host.handed_over = lambda: predecessor.reported
-        predecessor.listen()
-        logging.info(
-            "%s is ready on port %d with %d messages restored", config.name, port, len(host.journal.messages)
-        )
+        port, restored = starting.result(), len(server.journal.messages)
+        server.lifecycle.reports_sent = lambda: listener.reports_sent
+        listener.listen()
+        log.info("%s is ready on port %d with %d messages restored", configuration.name, port, restored)
     else:
         starting.cancel()
-    await host.closed
+    await server.lifecycle.closed
     reloader.stop()
     console.close()
-    predecessor.close()
-    host.close()
+    listener.close()
+    server.close()
 
 
 def main() -> int:
-    handler = logging.StreamHandler()
-    handler.addFilter(Bounded(50))
-    logging.basicConfig(
-        level=logging.INFO, handlers=[handler], format="%(asctime)s %(levelname)s %(message)s"
-    )
+    """Run one instance.
+
+    Exit status 2 for a bad configuration, 1 if it cannot start, with one line on standard error.
+    """
+    configure_logging()
     try:
-        config = load(os.environ)
-    except ConfigError as error:
+        configuration = load_configuration(os.environ)
+    except ConfigurationError as error:
         print(f"message-relay: {error}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_CONFIGURATION
     try:
-        asyncio.run(serve(config))
+        asyncio.run(serve(configuration))
     except OSError as error:
         print(f"message-relay: cannot start: {error}", file=sys.stderr)
-        return 1
-    return 0
+        return EXIT_CANNOT_START
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/message_relay/server/endpoint_directory.py
@@ -0,0 +1,105 @@
+"""The endpoints that discovery lists: their names there, their numbers here, and where they are."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Iterable
+from typing import Any
+
+from message_relay.model import EndpointEntry, EndpointListForm, EndpointListReceived, EndpointState, Settings
+from message_relay.server.configuration import Address, ConfigurationError, parse_address
+from message_relay.server.endpoint_calls import EndpointCallClient
+from message_relay.server.retry_after import RetryAfterTable
+
+STATES = {
+    "in_service": EndpointState.READY,
+    "terminating": EndpointState.DRAINING,
+    "terminated": EndpointState.REMOVED,
+}
+Target = dict[str, Any]  # one endpoint as discovery words it
+log = logging.getLogger(__name__)
+
+
+class EndpointDirectory:
+    """Applies endpoint lists: numbers the endpoints and keeps the call client's addresses up to date."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        zones: Iterable[str],
+        calls: EndpointCallClient,
+        retry_after: RetryAfterTable,
+    ) -> None:
+        self.entries: dict[int, EndpointEntry] = {}
+        self.targets: dict[int, Target] = {}  # the same as they came
+        self.numbers: dict[str, int] = {}  # by uid
+        self.uids: dict[int, str] = {}
+        # Destinations that ever stood in a list: their endpoints may only be gone for now.
+        self.destinations: set[int] = set()
+        self._last_number = 0
+        self._kinds = settings.kinds
+        self._kind_numbers = {kind.name: number for number, kind in enumerate(settings.kinds)}
+        self._zone_numbers = {zone: number for number, zone in enumerate(zones)}
+        self._calls = calls
+        self._retry_after = retry_after
+
+    def apply(self, targets: Iterable[Target], form: EndpointListForm) -> EndpointListReceived:
+        """Take over a list or a change of it; entries that cannot be read are logged and left out."""
+        entries = [entry for target in targets if (entry := self._place(target)) is not None]
+        if form is not EndpointListForm.DELTA:
+            listed = {entry.endpoint for entry in entries}
+            for number in [number for number in self.entries if number not in listed]:
+                self._remove(number)
+        for entry in entries:
+            if entry.state is EndpointState.REMOVED:
+                self._remove(entry.endpoint)
+            elif entry.state is EndpointState.DRAINING:
+                self._calls.close_idle_connections(entry.endpoint)
+        return EndpointListReceived(form, tuple(entries))
+
+    def _place(self, target: Target) -> EndpointEntry | None:
+        try:
+            entry, address = self._read(target)
+        except (KeyError, TypeError, ValueError, ConfigurationError) as error:
+            log.error("endpoint list: unreadable entry left out, error=%r", error)
+            return None
+        self.entries[entry.endpoint], self.targets[entry.endpoint] = entry, target
+        self.destinations.add(entry.destination)
+        self._calls.set_address(entry.endpoint, address)
+        return entry
+
+    def _read(self, target: Target) -> tuple[EndpointEntry, Address]:
+        uid = str(target["uid"])
+        if uid not in self.numbers:
+            self.numbers[uid] = self.reserve_number()
+            self.uids[self.numbers[uid]] = uid
+        entry = EndpointEntry(
+            self.numbers[uid],
+            int(target["pod_group"]),
+            STATES[target["state"]],
+            float(target.get("capacity_hint") or 0.0),
+            self._kind_numbers.get(target.get("model", ""), 0),
+            self._zone_numbers.get(target.get("az", ""), 0),
+        )
+        return entry, parse_address(target["endpoint"], "endpoint")
+
+    def reserve_number(self) -> int:
+        """A number that no endpoint has or had."""
+        self._last_number += 1
+        return self._last_number
+
+    def _remove(self, number: int) -> None:
+        self.targets.pop(number, None)
+        if entry := self.entries.pop(number, None):
+            self._retry_after.forget_endpoint(entry)
+        self.numbers.pop(self.uids.pop(number, ""), None)  # a uid that was removed does not come again
+        self._calls.remove_endpoint(number)
+
+    def batch_size(self, number: int) -> int:
+        """Messages that may travel to the endpoint in one call."""
+        entry = self.entries.get(number)
+        return self._kinds[min(entry.kind, len(self._kinds) - 1)].max_batch_size if entry else 1
+
+    def zone(self, number: int) -> int:
+        """The endpoint's zone, -1 if it is not listed."""
+        return self.entries[number].zone if number in self.entries else -1
--- /dev/null
+++ b/message_relay/server/hot_restart/frames.py
@@ -0,0 +1,197 @@
+"""The frames of the hot restart protocol: lists of values, the first of which names the kind.
+
+The names and the order of the values are those of version 3 and stay as they are.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from message_relay.model import AttemptResult
+from message_relay.server.endpoint_calls import AttemptOutcome
+from message_relay.server.hot_restart.snapshot import VERSION, ServerSnapshot
+
+RESULT_NAMES = {
+    AttemptResult.OK: "ok",
+    AttemptResult.ERROR: "error",
+    AttemptResult.REJECTED: "full",
+    AttemptResult.TIMEOUT: "timeout",
+    AttemptResult.CONNECT_FAILED: "connect_failed",
+    AttemptResult.RESET: "reset",
+    AttemptResult.CANCELLED: "cancelled",
+    AttemptResult.NOT_ATTEMPTED: "moot",
+}
+RESULTS = {name: result for result, name in RESULT_NAMES.items()}
+
+
+@dataclass(frozen=True, slots=True)
+class HandoverRequested:
+    """The new process asks for everything."""
+
+    version: int = VERSION
+
+    def encode(self) -> list[Any]:
+        """The values that are sent."""
+        return ["take", self.version]
+
+
+@dataclass(frozen=True, slots=True)
+class HandoverRejected:
+    """The old process keeps serving."""
+
+    reason: str
+
+    def encode(self) -> list[Any]:
+        """The values that are sent."""
+        return ["no", self.reason]
+
+
+@dataclass(frozen=True, slots=True)
+class StateHandedOver:
+    """The old process's state; the listening socket comes with it."""
+
+    state: ServerSnapshot
+    descriptor_count: int  # of all frames together
+
+    def encode(self) -> list[Any]:
+        """The values that are sent."""
+        return ["state", self.state.to_wire(), self.descriptor_count]
+
+
+@dataclass(frozen=True, slots=True)
+class ClientsHandedOver:
+    """Some clients' connections: what was read from each; their descriptors come with it."""
+
+    states: list[list[Any]]
+
+    def encode(self) -> list[Any]:
+        """The values that are sent."""
+        return ["clients", self.states]
+
+
+@dataclass(frozen=True, slots=True)
+class HandoverComplete:
+    """Everything has been handed over."""
+
+    def encode(self) -> list[Any]:
+        """The values that are sent."""
+        return ["end"]
+
+
+@dataclass(frozen=True, slots=True)
+class OwnershipTaken:
+    """The new process holds the lock."""
+
+    def encode(self) -> list[Any]:
+        """The values that are sent."""
+        return ["owned"]
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptEndedReport:
+    """An attempt of the old process has ended."""
+
+    message_number: int
+    attempt: int
+    endpoint: int  # the old process's number
+    started: bool
+    on_new_connection: bool
+    latency_us: int
+    outcome: AttemptOutcome
+
+    def encode(self) -> list[Any]:
+        """The values that are sent."""
+        outcome = self.outcome
+        return [
+            "ended",
+            self.message_number,
+            self.attempt,
+            self.endpoint,
+            self.started,
+            self.on_new_connection,
+            self.latency_us,
+            RESULT_NAMES[outcome.result],
+            outcome.message_ended,
+            outcome.retry_after_us,
+            outcome.malformed,
+        ]
+
+    @classmethod
+    def decode(cls, values: list[Any]) -> AttemptEndedReport:
+        """The reverse, without the name of the kind."""
+        number, attempt, endpoint, started, new, latency_us, result, ended, retry_after_us, malformed = values
+        outcome = AttemptOutcome(RESULTS[result], ended, retry_after_us, malformed)
+        return cls(number, attempt, endpoint, started, new, latency_us, outcome)
+
+
+@dataclass(frozen=True, slots=True)
+class RetryAfterReport:
+    """An endpoint of the old process gave a Retry-After."""
+
+    endpoint: int
+    wait_us: int
+
+    def encode(self) -> list[Any]:
+        """The values that are sent."""
+        return ["wait", self.endpoint, self.wait_us]
+
+
+@dataclass(frozen=True, slots=True)
+class LoadReport:
+    """An endpoint of the old process sent a load report."""
+
+    endpoint: int
+    values: dict[str, float]
+
+    def encode(self) -> list[Any]:
+        """The values that are sent."""
+        return ["load", self.endpoint, self.values]
+
+
+@dataclass(frozen=True, slots=True)
+class UnknownFrame:
+    """A frame of a kind that this build does not know; it is ignored."""
+
+    kind: Any
+
+    def encode(self) -> list[Any]:
+        """The values that were received."""
+        return [self.kind]
+
+
+Report = AttemptEndedReport | RetryAfterReport | LoadReport
+Frame = (
+    HandoverRequested
+    | HandoverRejected
+    | StateHandedOver
+    | ClientsHandedOver
+    | HandoverComplete
+    | OwnershipTaken
+    | Report
+    | UnknownFrame
+)
+
+
+def decode(values: list[Any]) -> Frame:
+    """A frame from its values. LookupError, TypeError or ValueError if they are not those of its kind."""
+    match values[0]:
+        case "take":
+            return HandoverRequested(values[1])
+        case "no":
+            return HandoverRejected(values[1])
+        case "state":
+            return StateHandedOver(ServerSnapshot.from_wire(values[1]), values[2])
+        case "clients":
+            return ClientsHandedOver(values[1])
+        case "end":
+            return HandoverComplete()
+        case "owned":
+            return OwnershipTaken()
+        case "ended":
+            return AttemptEndedReport.decode(values[1:])
+        case "wait":
+            return RetryAfterReport(values[1], values[2])
+        case "load":
+            return LoadReport(values[1], values[2])
+    return UnknownFrame(values[0])
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -1,878 +1,220 @@
-"""The turn: gathers events, lets the decision module act on them, carries its actions out in order."""
+"""One relay instance on real sockets: puts its parts together, starts and closes them."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 import logging
-import math
 import os
-import time
-from collections.abc import Callable, Iterable
-from typing import Any
 
-from message_relay import model as i
+from message_relay.model import EndpointCordoned, EndpointListForm
 from message_relay.policy.delivery_policy import DeliveryPolicy
-from message_relay.policy_snapshot import PolicySnapshot, capture
-from message_relay.server.endpoint_calls.client import Calls, Hooks, Item, Outcome
-from message_relay.server.resp.server import BadRequest, Client, ClientServer, Put, Reply
-from message_relay.server.configuration import Address, Config, ConfigError, parse_address
-from message_relay.server.admin_console import Refused
-from message_relay.server.metrics import Counters
-from message_relay.server.discovery.endpoint_watch import Notices, Watch
-from message_relay.server.journal import AcceptedMessage, FinalStatus, Journal
+from message_relay.server.attempt_runner import AttemptRunner
+from message_relay.server.configuration import Address, RelayConfiguration
+from message_relay.server.discovery.endpoint_watch import EndpointListChange, EndpointWatch
+from message_relay.server.discovery.final_notifier import FinalNotifier
+from message_relay.server.endpoint_calls import EndpointCallClient
+from message_relay.server.endpoint_directory import EndpointDirectory
+from message_relay.server.event_queue import EventQueue
+from message_relay.server.final_answers import FinalAnswers
+from message_relay.server.hot_restart.frames import Report
+from message_relay.server.hot_restart.snapshot import HandedOver
+from message_relay.server.hot_restart.state_transfer import StateTransfer
+from message_relay.server.journal import AcceptedMessage, Journal
+from message_relay.server.lifecycle import Lifecycle
+from message_relay.server.metrics import Metrics
+from message_relay.server.operations import Operations
+from message_relay.server.resp.server import ClientServer
+from message_relay.server.retry_after import RetryAfterTable
+from message_relay.server.submission import Submissions, submitted_event
+from message_relay.server.turn import TurnRunner
 
-STATES = {
-    "in_service": i.EndpointState.READY,
-    "terminating": i.EndpointState.DRAINING,
-    "terminated": i.EndpointState.REMOVED,
-}
-LONGEST = 10  # a message that wants to live longer than so many deadlines of its class is none of ours
-OVERDUE_S = 0.1  # a message this long past its time with no end is ended here: the last line of defence
-UNRUN = (i.AttemptResult.REJECTED, i.AttemptResult.CONNECT_FAILED, i.AttemptResult.NOT_ATTEMPTED)
 # Shares of the limit on open files; the rest is for calls, discovery, the journal and Python itself.
-CLIENT_SHARE, IDLE_SHARE = 0.5, 0.2
-# A planned restart, in seconds from SIGTERM: new clients come until LISTEN_S, calls may last until CALLS_S.
-LISTEN_S, CALLS_S, EXIT_S = 0.5, 3.2, 3.4
-# Quiesced: clients that still come are served until LATE_S, and handed back from then on.
-LATE_S = 2.0
-CLOSE_S = 0.02  # between two looks for connections that can be closed
-MAX_CORDONS = 1 << 14  # kept at once; those of endpoints that never come back would pile up
+CLIENT_CONNECTION_SHARE, IDLE_CONNECTION_SHARE = 0.5, 0.2
+MIN_CLIENT_CONNECTIONS = 8
 log = logging.getLogger(__name__)
 
 
-class Host:
-    """One courier on real sockets."""
-
-    def __init__(self, loop: asyncio.AbstractEventLoop, config: Config) -> None:
-        self.loop, self.config, self.s = loop, config, config.settings
-        self.policy = DeliveryPolicy(self.s, config.seed)
-        self.journal = Journal(
-            config.state, config.disk_bytes, max(c.key_window_us for c in self.s.classes) / 1e6
+class RelayServer:
+    """Owns the parts of one instance."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, configuration: RelayConfiguration) -> None:
+        self.configuration = configuration
+        settings = self.settings = configuration.settings
+        key_window_s = max(message_class.key_window_us for message_class in settings.classes) / 1e6
+        self.policy = DeliveryPolicy(settings, configuration.seed)
+        self.journal = Journal(configuration.state_directory, configuration.disk_limit_bytes, key_window_s)
+        self.metrics = Metrics([message_class.name for message_class in settings.classes])
+        self.events = EventQueue(loop, settings.turn_interval_us)
+        self.retry_after = RetryAfterTable(settings.kinds)
+        self.answers = FinalAnswers(loop, self.journal, self.events, self.metrics)
+        self.attempts = AttemptRunner(
+            settings, self.policy, self.journal, self.events, self.answers, self.metrics, self.retry_after
+        )
+        self.calls = EndpointCallClient(
+            loop,
+            self.attempts,
+            settings.connection_idle_us,
+            settings.connect_timeout_us,
+            int(configuration.max_descriptors * IDLE_CONNECTION_SHARE),
+        )
+        self.directory = EndpointDirectory(settings, configuration.zones, self.calls, self.retry_after)
+        self.attempts.calls, self.attempts.directory = self.calls, self.directory
+        self.submissions = Submissions(
+            settings,
+            self.policy,
+            self.journal,
+            self.events,
+            self.directory,
+            self.attempts,
+            self.answers,
+            self.metrics,
+        )
+        self.clients = ClientServer(
+            self.submissions.submit,
+            max(MIN_CLIENT_CONNECTIONS, int(configuration.max_descriptors * CLIENT_CONNECTION_SHARE)),
+            self.unready_reason,
+        )
+        self.lifecycle = Lifecycle(
+            loop, self.events, self.journal, self.clients, self.calls, self.submissions
+        )
+        self.operations = Operations(
+            self.policy, self.events, self.journal, self.directory, self.calls, self.metrics, self.lifecycle
         )
-        self.numbers = 0
-        self.classes = {c.name: n for n, c in enumerate(self.s.classes)}
-        self.tenants = {t.name: n for n, t in enumerate(self.s.tenants)}
-        self.kinds = {k.name: n for n, k in enumerate(self.s.kinds)}
-        self.zones = {z: n for n, z in enumerate(config.zones)}
-        self.uids: dict[str, int] = {}
-        self.names: dict[int, str] = {}  # the other way round
-        self.listed_ever = 0
-        self.entries: dict[int, i.EndpointEntry] = {}
-        self.dests: set[int] = set()  # that ever stood in a list: its endpoints may only be gone for now
-        self.waits: dict[tuple[int, int], int] = {}  # told waits, by destination or route: when they end
-        self.events: list[i.Event] = []
-        self.arrived: dict[int, tuple[AcceptedMessage, list[Reply]]] = {}  # not answered yet
-        self.arriving: dict[str, int] = {}  # their ids
-        self.guards: dict[int, asyncio.TimerHandle] = {}
-        self.attempts: dict[int, int] = {}  # numbers of the next attempts, as the decision module counts
-        self.scheduled = False
-        self.last_turn = -self.s.turn_interval_us
-        self.closing_at = self.quiet_at = 0.0  # since SIGTERM; since operators asked to empty the courier
-        self.emptying: asyncio.TimerHandle | None = None
-        self.started = False  # this process owns the courier and serves
-        self.frozen = self.retired = False  # all is being handed over to another process; it has been
-        self.inherited: dict[tuple[int, int], int] = {}  # calls out at the process before: where
-        self.there: dict[int, int] = {}  # its numbers of endpoints as they are here
-        self.heard = asyncio.Event()  # a first word of discovery
-        self.relayed: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
-        self.moving: list[Client] = []  # connections that go to the other process
-        self.handed_over: Callable[[], bool] = lambda: True  # whether all that was to be told has been
-        self.counters = Counters([c.name for c in self.s.classes])
-        self.closed: asyncio.Future[None] = loop.create_future()
-        self.raw: dict[int, dict[str, Any]] = {}  # the list's entries as they came
-        self.hooks = Hooks(
-            self._may_write,
-            self.counters.written,
-            self._begin,
-            self._ended,
-            self._told_wait,
-            self._reported,
-            self._probed,
+        self.turns = TurnRunner(
+            loop, self.policy, self.events, self.submissions, self.attempts, self.answers, self.calls
         )
-        self.calls = Calls(
+        self.notifier = FinalNotifier(loop, configuration.discovery_address, self._finals_accepted)
+        self.watch = EndpointWatch(
             loop,
-            self.hooks,
-            self.s.connection_idle_us,
-            self.s.connect_timeout_us,
-            int(config.sockets * IDLE_SHARE),
+            configuration.discovery_address,
+            configuration.known_list.revision,
+            self._list_changed,
+            settings.instance_count,
         )
-        self.clients = ClientServer(self.put, max(8, int(config.sockets * CLIENT_SHARE)), self.not_ready)
-        self.notices = Notices(loop, config.discovery, self._accepted)
-        self.watch = Watch(loop, config.discovery, config.known["rev"], self.listed, self.s.instance_count)
+        self.transfer = StateTransfer(self)
+        self._list_received = asyncio.Event()
+        self._connect_parts()
+
+    def _connect_parts(self) -> None:
+        self.events.on_turn = self.lifecycle.take_turn = self.turns.run
+        self.answers.notifier = self.notifier
+        self.answers.on_ended = self._message_ended
+        self.attempts.on_idle = self.lifecycle.exit_if_done
+        self.submissions.is_closed = self.lifecycle.rejects_clients
+
+    def unready_reason(self) -> str:
+        """Why this process is not to be sent clients, empty if it is."""
+        return self.lifecycle.unready_reason()
 
-    async def start(self) -> int:
-        """Alone: nobody else serves. Returns the port."""
-        self.warm()
-        self.journal.acquire()
-        return await self.assume()
+    # Start
 
-    def warm(self) -> None:
-        """What can be done before this process owns anything."""
-        self.listed({"all": True, "targets": self.config.known["targets"]}, i.EndpointListForm.CACHED)
-        self.watch.open()
+    def prepare(self) -> None:
+        """Do what can be done before this process owns anything."""
+        known = self.configuration.known_list
+        self.apply_list(EndpointListChange(known.revision, True, known.targets), EndpointListForm.CACHED)
+        self.watch.start()
 
-    async def warmed(self, seconds: float) -> None:
-        """Until discovery has told of the list; it may be down."""
+    async def wait_for_list(self, timeout_s: float) -> None:
+        """Wait for a first word of discovery; it may be down."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(seconds):
-                await self.heard.wait()
+            async with asyncio.timeout(timeout_s):
+                await self._list_received.wait()
+
+    async def start(self) -> int:
+        """Start with no other process serving. Returns the port; JournalLockedError if one does."""
+        self.prepare()
+        self.journal.acquire()
+        return await self.begin_serving()
 
-    async def assume(
-        self,
-        given: dict[str, Any] | None = None,
-        fds: list[int] | None = None,
-        clients: list[list[Any]] | None = None,
-    ) -> int:
-        """Restore, take the first turn, then listen: a PING is answered from here on. Returns the port.
+    async def begin_serving(self, handed_over: HandedOver | None = None) -> int:
+        """Restore, take the first turn, then listen: clients are accepted from here on. Returns the port.
 
-        given, fds and clients: from the process before, where there is one (see freeze)."""
-        self.numbers = self.journal.last_number
-        known = self._inherit(given) if given is not None else set()
+        The journal is this process's. ``handed_over`` is what the old process passed on, where there is one.
+        """
+        self.submissions.last_number = self.journal.last_number
+        known = self.transfer.import_state(handed_over.state) if handed_over else frozenset()
         for uid in self.journal.cordoned:
-            if uid in self.uids:
-                self.events.append(i.EndpointCordoned(self.uids[uid]))
-        for m in list(self.journal.messages.values()):
-            self._restore(m, m.number in known)
-        self.turn()
-        fd = self.config.listen_fd
-        if fds:
-            if fd < 0:
-                fd = fds[0]
-            else:
-                os.close(fds[0])
-        port = await self.clients.listen(*self.config.listen, fd)
-        for client, state in zip((fds or [])[1:], clients or [], strict=True):
-            self.clients.adopt(client, state)
-        self.started = True
+            if uid in self.directory.numbers:
+                self.events.add_silently(EndpointCordoned(self.directory.numbers[uid]))
+        for message in list(self.journal.messages.values()):
+            self._restore(message, message.number in known)
+        self.turns.run()
+        port = await self._listen(handed_over)
+        self.lifecycle.serving = True
         return port
 
-    def _restore(self, m: AcceptedMessage, known: bool) -> None:
-        if m.final_status:
-            self.notices.add(m.number, m.id, m.final_status.value, m.retry_after_ms)
+    def _restore(self, message: AcceptedMessage, known: bool) -> None:
+        if message.final_status:
+            self.answers.notify(message.number, message.id, message.final_status, message.retry_after_ms)
             return
         if not known:
-            self.events.append(self._arrival(m, restored=True))
-        self._guard(m)
-
-    def _inherit(self, given: dict[str, Any]) -> set[int]:
-        """Go on with what the process before knew. Returns the numbers of the messages that it tells of."""
-        if given["rev"] > self.watch.rev:  # its list is the newer one
-            self.watch.rev = given["rev"]
-            self.listed({"all": True, "targets": given["targets"]})
-        for there, uid in given["endpoints"].items():
-            if uid not in self.uids:  # listed no more: a call may still be out there
-                self.listed_ever += 1
-            self.there[there] = self.uids.get(uid, self.listed_ever)
-        for destination, route, until in given["waits"]:
-            self.waits[(destination, self.there.get(route, route))] = until
-        brain = given["brain"]
-        tries = brain["tries"]
-        self.attempts.update({n: t for n, t in tries.items() if n in self.journal.messages})
-        for endpoint, items in given["calls"]:
-            self.inherited.update({(n, attempt): self.there[endpoint] for n, attempt in items})
-        self.events.append(i.StateImported(PolicySnapshot.from_wire(brain), self.there))
-        return set(tries)
-
-    def clock(self) -> int:
-        return time.monotonic_ns() // 1000
-
-    def _mono(self, wall: float) -> int:
-        return self.clock() + int((wall - time.time()) * 1e6)
-
-    def _arrival(self, m: AcceptedMessage, restored: bool = False) -> i.MessageSubmitted:
-        ran = m.possibly_applied_at_s
-        return i.MessageSubmitted(
-            m.number,
-            m.message_class,
-            m.destination,
-            self._mono(m.deadline_s),
-            m.tenant,
-            m.order_key,
-            m.resubmitted,
-            restored,
-            m.attempts,
-            self._mono(ran) if ran else -1,
-            m.possibly_applied_zone,
-        )
-
-    # The turn
-
-    def tell(self, event: i.Event) -> None:
-        self.events.append(event)
-        self.wake()
-
-    def wake(self) -> None:
-        """Take a turn as soon as what has come in with this event is read, a tick after the last at least."""
-        if self.scheduled or self.frozen:
-            return
-        self.scheduled = True
-        early = self.last_turn + self.s.turn_interval_us - self.clock()
-        if early <= 0:
-            self.loop.call_soon(self.turn)
-        else:
-            self.loop.call_later(early / 1e6, self.turn)
-
-    def turn(self) -> None:
-        self.scheduled = False
-        if self.frozen:
-            return  # what the module would do now, the process that comes after does
-        self.last_turn = now = self.clock()
-        events, self.events = self.events, []
-        arrived, self.arrived = self.arrived, {}
-        self.arriving.clear()
-        try:
-            actions: Iterable[i.Action] = self.policy.handle(now, events)
-        except Exception:  # one bad turn must not end the process; each message still has its guard
-            log.exception("the decision module failed on %d events", len(events))
-            actions = [i.FailMessage(n) for n in arrived]
-        try:
-            self._carry_out(list(actions), arrived)
-        except Exception:
-            log.exception("actions failed")
-            for _, replies in arrived.values():
-                for reply in replies:
-                    reply.send(b"-ERR internal error\r\n")
-
-    def _carry_out(
-        self, actions: list[i.Action], arrived: dict[int, tuple[AcceptedMessage, list[Reply]]]
-    ) -> None:
-        for a in actions:
-            if isinstance(a, (i.RejectMessage, i.FailMessage)) and a.message in arrived:
-                m, replies = arrived.pop(a.message)
-                self._count_end(m.message_class, isinstance(a, i.RejectMessage))
-                for reply in replies:
-                    reply.send(
-                        refusal(a.retry_after_us) if isinstance(a, i.RejectMessage) else b"-ERR failed\r\n"
-                    )
-        for m, replies in arrived.values():
-            self._take(m, replies)
-        bundles: dict[int, list[Item]] = {}
-        for a in actions:
-            if isinstance(a, i.SendAttempt):
-                self._send(a, bundles)
-            elif isinstance(a, (i.RejectMessage, i.FailMessage)):
-                self._final(a)
-            elif isinstance(a, i.SetTimer):
-                self.loop.call_later(a.delay_us / 1e6 + 5e-5, self.tell, i.TimerFired(a.token))
-            elif isinstance(a, i.CloseIdleConnections):
-                self.calls.close_idle(a.endpoint)
-            elif isinstance(a, i.CancelAttempt):
-                self.calls.cancel(a.message, a.attempt)
-            elif isinstance(a, i.CheckEndpointHealth):
-                self.calls.probe(a.endpoint)
-            elif isinstance(a, i.LogMessage):
-                log.info("%s", a.text)
-        for endpoint, items in bundles.items():
-            most = self._batch(endpoint)
-            for at in range(0, len(items), most):
-                self._call(endpoint, items[at : at + most])
-
-    # Clients
-
-    def put(self, put: Put, reply: Reply) -> None:
-        """A message is handed in. It is answered in the turn that follows."""
-        cls = self.classes.get(put.cls)
-        if cls is None:
-            raise BadRequest("c: no such class")
-        tenant = self.tenants.get(put.tenant or "", -1) if self.tenants else 0
-        if tenant < 0:
-            raise BadRequest("t: no such tenant")
-        if self.s.classes[cls].idempotency is i.Idempotency.KEYED and not put.key:
-            raise BadRequest("k: lacks, and the class is keyed")
-        if put.life_ms * 1000 > LONGEST * self.s.classes[cls].deadline_us:
-            raise BadRequest("d: far over the deadline of the class")
-        if self.dests and put.dest not in self.dests:
-            raise BadRequest("dest: no such destination")
-        if self.frozen:
-            reply.send(refusal(self.policy.come_back_us()))
-            return
-        if put.id in self.arriving:
-            self.arrived[self.arriving[put.id]][1].append(reply)
-            return
-        if put.id in self.journal.numbers_by_id or put.id in self.journal.finished_ids:
-            reply.send(b"+OK\r\n")  # handed in again on a new connection: it is, or was, taken care of
-            return
-        late = self.quiet_at and self.loop.time() > self.quiet_at + LATE_S
-        if late or self.journal.open_count + len(self.arrived) >= self.s.max_open_messages:
-            self.counters.handed_back(cls)
-            reply.send(refusal(self.policy.come_back_us()))
-            return
-        now = time.time()
-        self.numbers += 1
-        m = AcceptedMessage(
-            self.numbers,
-            put.id,
-            cls,
-            tenant,
-            put.dest,
-            put.key,
-            now + put.life_ms / 1e3,
-            put.resubmitted,
-            put.body,
-            put.order,
-            earlier_attempt_at_s=self.journal.key_applied_at_s(put.key),
-            earlier_attempt_zone=self.journal.key_applied_zone(put.key),
-        )
-        self._replace(m)
-        self.arrived[m.number] = (m, [reply])
-        self.arriving[m.id] = m.number
-        self.tell(self._arrival(m))
-
-    def _replace(self, m: AcceptedMessage) -> None:
-        """A key that is still open here is handed in again only by a client that gave the older one up."""
-        old = self.journal.messages.get(self.journal.open_number_by_key.get(m.idempotency_key, 0))
-        if old is None:
-            return
-        if not m.earlier_attempt_at_s:
-            m.earlier_attempt_at_s, m.earlier_attempt_zone = (
-                old.possibly_applied_at_s,
-                old.possibly_applied_zone,
-            )
-        self.tell(i.MessageWithdrawn(old.number))
-        last = self.attempts.get(old.number, 0) - 1
-        self._end(old, FinalStatus.DEFERRED, 0)
-        self.calls.cancel(old.number, last)
-
-    def _take(self, m: AcceptedMessage, replies: list[Reply]) -> None:
-        text = b"+OK\r\n"
-        if not any(r.wanted for r in replies):
-            self.tell(i.MessageWithdrawn(m.number))  # nobody heard that it was taken on
-            return
-        try:
-            self.journal.accept(m)
-        except OSError as error:
-            log.error("not taken on: %s", error)
-            text = refusal(self.policy.come_back_us())
-            self.counters.handed_back(m.message_class)
-            self.tell(i.MessageWithdrawn(m.number))
-        else:
-            self._guard(m)
-        for reply in replies:
-            reply.send(text)
-
-    def _guard(self, m: AcceptedMessage) -> None:
-        delay = max(0.0, m.deadline_s + OVERDUE_S - time.time())
-        self.guards[m.number] = self.loop.call_later(delay, self._overdue, m.number)
-
-    def _overdue(self, number: int) -> None:
-        m = self.journal.messages.get(number)
-        if self.frozen:
-            self.guards[number] = self.loop.call_later(OVERDUE_S, self._overdue, number)
-        elif m and not m.final_status:
-            log.error("message %s was overdue", m.id)
-            self.tell(i.MessageWithdrawn(number))
-            self._end(m, FinalStatus.UNDELIVERABLE, 0)
-
-    # Ends
-
-    def _final(self, a: i.RejectMessage | i.FailMessage) -> None:
-        m = self.journal.messages.get(a.message)
-        if m is None or m.final_status:
-            return
-        if isinstance(a, i.RejectMessage):
-            self._end(m, FinalStatus.DEFERRED, -(-a.retry_after_us // 1000))
-        else:
-            self._end(m, FinalStatus.UNDELIVERABLE, 0)
-
-    def _end(self, m: AcceptedMessage, status: FinalStatus, again_ms: int) -> None:
-        """Owe the notice, then send it."""
-        self._count_end(m.message_class, status is FinalStatus.DEFERRED)
-        try:
-            self.journal.record_final(m.number, status, again_ms)
-        except OSError as error:  # sent all the same: to end it once more after a restart does no harm
-            log.error("journal: %s", error)
-            self.journal.mark_final(m, status, again_ms)
-        self._unguard(m.number)
-        self.attempts.pop(m.number, None)
-        self.notices.add(m.number, m.id, status.value, again_ms)
-
-    def _count_end(self, cls: int, handed_back: bool) -> None:
-        if handed_back:
-            self.counters.handed_back(cls)
-        else:
-            self.counters.failed(cls)
-
-    def _unguard(self, number: int) -> None:
-        if guard := self.guards.pop(number, None):
-            guard.cancel()
-
-    def _accepted(self, numbers: list[int]) -> None:
-        if self.frozen:
-            self.relayed.append((self._accepted, (numbers,)))
-            return
-        self._note(self.journal.record_completed, numbers)
-        self._maybe_exit()
-
-    def _note(self, write: Any, *args: Any) -> None:
-        """A record whose loss does no harm: a restart then takes the more careful view."""
-        try:
-            write(*args)
-        except OSError as error:
-            log.error("journal: %s", error)
-
-    # Calls
-
-    def _batch(self, endpoint: int) -> int:
-        entry = self.entries.get(endpoint)
-        return self.s.kinds[min(entry.kind, len(self.s.kinds) - 1)].max_batch_size if entry else 1
-
-    def _send(self, a: i.SendAttempt, bundles: dict[int, list[Item]]) -> None:
-        m = self.journal.messages.get(a.message)
-        attempt = self.attempts.get(a.message, m.attempts if m else 0)
-        self.attempts[a.message] = attempt + 1
-        if m is None or m.final_status:
-            self.tell(
-                i.AttemptEnded(a.message, attempt, a.endpoint, i.AttemptResult.NOT_ATTEMPTED, 0, m is None)
-            )
-            return
-        zone = self.entries[a.endpoint].zone if a.endpoint in self.entries else -1
-        item = Item(
-            m.number,
-            attempt,
-            m.id,
-            m.idempotency_key,
-            m.body,
-            a.timeout_us,
-            a.new_connection_timeout_us,
-            a.require_new_connection,
-            zone,
-        )
-        if self._batch(a.endpoint) > 1:
-            bundles.setdefault(a.endpoint, []).append(item)
-        else:
-            self._call(a.endpoint, [item])
-
-    def _call(self, endpoint: int, items: list[Item]) -> None:
-        # A bundle is one call, waited for as long as its first message: led by one whose time is up sooner,
-        # it counts as given up while the others are still waited for.
-        items = sorted(items, key=lambda item: -self.journal.messages[item.number].deadline_s)
-        longest = max(item.timeout_us for item in items)
-        fresh = max(item.fresh_timeout_us for item in items)
-        for item in items:
-            left = (
-                self._mono(self.journal.messages[item.number].deadline_s)
-                - self.clock()
-                - 2 * self.s.turn_interval_us
-            )
-            item.timeout_us = max(item.timeout_us, min(longest, left))
-            item.fresh_timeout_us = max(item.fresh_timeout_us, min(fresh, left))
-        try:
-            self.calls.send(endpoint, items)
-        except Exception:  # its slots and messages must not hang on it
-            log.exception("a call failed")
-            for item in items:
-                if not item.ended:
-                    item.ended = True
-                    result = i.AttemptResult.RESET if item.begun else i.AttemptResult.NOT_ATTEMPTED
-                    self._ended(item, endpoint, Outcome(result), 0)
-
-    def _wait_key(self, endpoint: int) -> tuple[int, int]:
-        entry = self.entries.get(endpoint)
-        if entry is None:
-            return (-1, endpoint)
-        apart = self.s.kinds[min(entry.kind, len(self.s.kinds) - 1)].independent_endpoints
-        return (entry.destination, endpoint if apart else -1)
-
-    def _told_wait(self, endpoint: int, wait_us: int) -> None:
-        if endpoint not in self.entries:
-            return  # it has left the list: the decision module still heeds it for the destination
-        key = self._wait_key(endpoint)
-        self.waits[key] = max(self.waits.get(key, 0), self.clock() + wait_us)
-
-    def _reported(self, endpoint: int, values: dict[str, float]) -> None:
-        if all(name in values for name in self.s.load_report_fields):
-            self.tell(
-                i.LoadReportReceived(endpoint, tuple(values[name] for name in self.s.load_report_fields))
-            )
-
-    def _may_write(self, endpoint: int) -> bool:
-        """News that came while a connection was being made holds for the call that waits for it."""
-        entry = self.entries.get(endpoint)
-        ready = entry is not None and entry.state is i.EndpointState.READY
-        ready = ready and self.names.get(endpoint) not in self.journal.cordoned
-        return ready and self.waits.get(self._wait_key(endpoint), 0) <= self.clock()
-
-    def _begin(self, items: list[Item]) -> bool:
-        if any(n.number not in self.journal.messages or self._repeats_late(n.number) for n in items):
-            return False
-        try:
-            self.journal.record_attempt([n.number for n in items], time.time(), items[0].zone)
-        except OSError as error:
-            log.error("journal: %s", error)
-            return False
-        return True
-
-    def _repeats_late(self, number: int) -> bool:
-        """Its connection came up so late that its key may be known no more."""
-        m = self.journal.messages[number]
-        cls = self.s.classes[m.message_class]
-        ran = m.possibly_applied_at_s if cls.idempotency is i.Idempotency.KEYED else 0.0
-        return bool(ran) and time.time() >= ran + (cls.key_window_us - self.policy.state.margin_us) / 1e6
-
-    def _ended(self, item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
-        m = self.journal.messages.get(item.number)
-        over = outcome.over or m is None
-        if m and not m.final_status and outcome.result is i.AttemptResult.OK:
-            self.counters.delivered(m.message_class)
-        if outcome.over and m:
-            self._note(self.journal.record_completed, [m.number])
-            self._unguard(m.number)
-        elif m and item.begun and outcome.result in UNRUN:
-            self._note(self.journal.record_not_applied, m.number)
-        if over:
-            self.attempts.pop(item.number, None)
-        self.tell(
-            i.AttemptEnded(
-                item.number,
-                item.attempt,
-                endpoint,
-                outcome.result,
-                max(1, latency),
-                over,
-                outcome.wait_us,
-                item.fresh if item.begun else None,
-                outcome.spoilt,
-            )
-        )
-        self._maybe_exit()
+            self.events.add_silently(submitted_event(message, restored=True))
+        self.answers.watch_deadline(message)
+
+    async def _listen(self, handed_over: HandedOver | None) -> int:
+        descriptor = self.configuration.listen_fd
+        if handed_over and handed_over.listener_fd is not None:
+            if descriptor < 0:
+                descriptor = handed_over.listener_fd
+            else:
+                os.close(handed_over.listener_fd)
+        address = self.configuration.listen_address
+        port = await self.clients.listen(address.host, address.port, descriptor)
+        for client in handed_over.clients if handed_over else ():
+            self.clients.adopt(client.descriptor, client.state)
+        return port
 
-    def _probed(self, endpoint: int, result: i.AttemptResult, latency: int) -> None:
-        self.tell(i.HealthCheckEnded(endpoint, result, latency))
+    # Discovery
 
-    # The list
+    def _list_changed(self, change: EndpointListChange) -> None:
+        self.apply_list(change, EndpointListForm.COMPLETE if change.complete else EndpointListForm.DELTA)
 
-    def listed(self, change: dict[str, Any], form: i.EndpointListForm | None = None) -> None:
-        form = form or (i.EndpointListForm.COMPLETE if change.get("all") else i.EndpointListForm.DELTA)
-        entries = []
-        for target in change.get("targets", []):
-            try:
-                entry, address = self._entry(target)
-            except (KeyError, TypeError, ValueError, ConfigError) as error:
-                log.error("discovery: an entry that can't be read: %r", error)
-                continue
-            entries.append(entry)
-            self.entries[entry.endpoint], self.raw[entry.endpoint] = entry, target
-            self.dests.add(entry.destination)
-            self.calls.place(entry.endpoint, address)
-        if form is not i.EndpointListForm.CACHED:
-            self.heard.set()
-        if form is not i.EndpointListForm.DELTA:
-            named = {e.endpoint for e in entries}
-            for number in [n for n in self.entries if n not in named]:
-                self._gone(number)
-        for entry in entries:
-            if entry.state is i.EndpointState.REMOVED:
-                self._gone(entry.endpoint)
-            elif entry.state is i.EndpointState.DRAINING:
-                self.calls.close_idle(entry.endpoint)
-        self.tell(i.EndpointListReceived(form, tuple(entries)))
-        for entry in entries:  # in the same turn: the list lifts no cordon, nor does a new number
-            if self.names.get(entry.endpoint) in self.journal.cordoned:
-                self.tell(i.EndpointCordoned(entry.endpoint))
+    def apply_list(self, change: EndpointListChange, form: EndpointListForm) -> None:
+        """Take over an endpoint list or a change of it."""
+        event = self.directory.apply(change.targets, form)
+        if form is not EndpointListForm.CACHED:
+            self._list_received.set()
+        self.events.add(event)
+        for entry in event.entries:  # in the same turn: the list lifts no cordon, nor does a new number
+            if self.directory.uids.get(entry.endpoint) in self.journal.cordoned:
+                self.events.add(EndpointCordoned(entry.endpoint))
 
-    def move(self, discovery: Address) -> None:
+    def move_discovery(self, address: Address) -> None:
         """Discovery is at another address: the watch and the notices both go there."""
-        if discovery != self.watch.address:
-            log.info("discovery moves to %s:%d", *discovery)
-            self.watch.move(discovery)
-            self.notices.move(discovery)
-
-    def _gone(self, endpoint: int) -> None:
-        self.raw.pop(endpoint, None)
-        if entry := self.entries.pop(endpoint, None):
-            self.waits.pop((entry.destination, endpoint), None)
-        self.uids.pop(self.names.pop(endpoint, ""), None)  # an id that has gone does not come again
-        self.calls.forget(endpoint)
-
-    def _entry(self, target: dict[str, Any]) -> tuple[i.EndpointEntry, tuple[str, int]]:
-        uid = str(target["uid"])
-        if uid not in self.uids:
-            self.listed_ever += 1
-            self.uids[uid], self.names[self.listed_ever] = self.listed_ever, uid
-        number = self.uids[uid]
-        kind, zone = self.kinds.get(target.get("model", ""), 0), self.zones.get(target.get("az", ""), 0)
-        entry = i.EndpointEntry(
-            number,
-            int(target["pod_group"]),
-            STATES[target["state"]],
-            float(target.get("capacity_hint") or 0.0),
-            kind,
-            zone,
-        )
-        return entry, parse_address(target["endpoint"], "endpoint")
-
-    # A handover, as the process that is asked
-
-    def may_hand_over(self) -> str:
-        return "ending" if self.closing_at else "" if self.started else "starting"
-
-    def freeze(self, relay: Callable[[list[Any]], None]) -> tuple[dict[str, Any], list[int], list[list[Any]]]:
-        """Let go of the courier: nothing is accepted, read, begun or recorded from here on.
-
-        Returns what is known, the descriptors of the listening socket and of the clients that wait for no
-        answer, and what was read from each of these. What comes of the calls out is told to `relay`."""
-        self.clients.hold()
-        self.events.append(
-            i.ShutdownScheduled(self.clock())
-        )  # what has come in is answered, but no call begins
-        self.turn()
-        self.calls.drop_unbegun()
-        self.turn()
-        self.frozen = True
-        self.relayed.clear()
-        self.calls.hooks = self._relaying(relay)
-        self.moving = [c for c in self.clients.clients if c.portable]
-        brain = capture(self.policy.state).to_wire()
-        given = {
-            "brain": brain,
-            "rev": self.watch.rev,
-            "targets": list(self.raw.values()),
-            "endpoints": {n: self.names.get(n, "") for n in self.policy.state.endpoints},
-            "waits": [[*key, until] for key, until in self.waits.items()],
-            "calls": [[endpoint, items] for endpoint, _, _, items in brain["calls"]],
-        }
-        listening = [self.clients.sock] if self.clients.sock is not None else []
-        fds = [sock.fileno() for sock in (*listening, *(c.sock for c in self.moving))]
-        states = [c.state() for c in self.moving]
-        self.journal.close()
-        return given, fds, states
-
-    def _relaying(self, relay: Callable[[list[Any]], None]) -> Hooks:
-        """Hooks that tell the process that comes after, and keep what they told in case it never owns."""
+        if address != self.watch.address:
+            log.info("discovery moves: address=%s:%d", *address)
+            self.watch.move(address)
+            self.notifier.move(address)
 
-        def ended(item: Item, endpoint: int, outcome: Outcome, latency: int) -> None:
-            self.relayed.append((self._ended, (item, endpoint, outcome, latency)))
-            relay(
-                [
-                    "ended",
-                    item.number,
-                    item.attempt,
-                    endpoint,
-                    item.begun,
-                    item.fresh,
-                    latency,
-                    outcome.result.value,
-                    outcome.over,
-                    outcome.wait_us,
-                    outcome.spoilt,
-                ]
-            )
+    # Reports of the old process in a hot restart (HandoverTarget)
 
-        def told_wait(endpoint: int, wait_us: int) -> None:
-            self.relayed.append((self._told_wait, (endpoint, wait_us)))
-            relay(["wait", endpoint, wait_us])
-
-        def reported(endpoint: int, values: dict[str, float]) -> None:
-            self.relayed.append((self._reported, (endpoint, values)))
-            relay(["load", endpoint, values])
-
-        return Hooks(
-            lambda endpoint: False,
-            self.counters.written,
-            lambda items: False,
-            ended,
-            told_wait,
-            reported,
-            lambda endpoint, result, latency: None,
-        )
-
-    def thaw(self) -> None:
-        """The other process has gone without owning: go on."""
-        self.frozen = False
-        self.calls.hooks = self.hooks
-        for told, values in self.relayed:
-            told(*values)
-        self.clients.go_on()
-        self.tell(i.ShutdownScheduled(math.inf))
-
-    def retire(self) -> None:
-        """The other process owns: only the calls that are out are finished here."""
-        self.retired, self.started = True, False
-        self.relayed.clear()
-        for guard in self.guards.values():
-            guard.cancel()
-        self.guards.clear()
-        self.journal.forget_messages()
-        self.watch.stop()
-        self.notices.stop()
-        self.clients.stop_listening()
-        for client in self.moving:
-            client.close()
-        self._leave()
-
-    def _leave(self) -> None:
-        for client in list(self.clients.clients):
-            client.finish()
-        if self.calls.out or self.clients.clients or not self.handed_over():
-            self.loop.call_later(CLOSE_S, self._leave)
-        else:
-            self._exit()
-
-    # And as the one that was started
-
-    def outcome_reported(self, message: list[Any]) -> None:
-        """What came of a call of the process before."""
-        kind, rest = message[0], message[1:]
-        if kind == "wait":
-            self._told_wait(self.there.get(rest[0], -1), rest[1])
-        elif kind == "load":
-            self._reported(self.there.get(rest[0], -1), rest[1])
-        elif kind == "ended":
-            number, attempt, _, begun, fresh, latency, result, over, wait_us, spoilt = rest
-            self._inherited_ended(
-                number,
-                attempt,
-                Outcome(i.AttemptResult(result), over, wait_us, spoilt),
-                latency,
-                begun,
-                fresh,
-            )
+    def report_received(self, report: Report) -> None:
+        """What has come of a call of the old process."""
+        self.transfer.report_received(report)
 
     def reports_ended(self) -> None:
-        """The process before has gone: what it has not told of may have run."""
-        if self.inherited:
-            log.warning("%d calls of the process before may have run", len(self.inherited))
-        for number, attempt in list(self.inherited):
-            self._inherited_ended(number, attempt, Outcome(i.AttemptResult.CANCELLED), 0, True, False)
-
-    def _inherited_ended(
-        self, number: int, attempt: int, outcome: Outcome, latency: int, begun: bool, fresh: bool
-    ) -> None:
-        endpoint = self.inherited.pop((number, attempt), None)
-        if endpoint is not None:
-            item = Item(number, attempt, "", "", b"", 0, fresh=fresh, begun=begun, ended=True)
-            self._ended(item, endpoint, outcome, latency)
-
-    # Operators
-
-    def not_ready(self) -> str:
-        """Why this process is not to be sent clients, empty if it is."""
-        if self.frozen:
-            return "handed over" if self.retired else "handing over"
-        if self.closing_at:
-            return "ending"
-        if self.quiet_at:
-            return "quiesced"
-        return "" if self.started else "starting"
-
-    def health(self) -> None:
-        if why := self.not_ready():
-            raise Refused(why)
-
-    def figures(self) -> str:
-        down = sum(1 for endpoint in self.policy.avoided_endpoints() if endpoint in self.entries)
-        return self.counters.render(
-            {"inflight": self.journal.open_count, "hosts_listed": len(self.entries), "hosts_down": down}
-        )
-
-    def _operable(self) -> None:
-        if self.frozen or not self.started:
-            raise Refused(self.not_ready())
-
-    def cordon(self, uid: str) -> None:
-        self._operable()
-        if uid in self.journal.cordoned:
-            return
-        if uid not in self.uids:
-            raise Refused("no such endpoint")
-        if len(self.journal.cordoned) >= MAX_CORDONS:
-            raise Refused("too many are cordoned")
-        self._cordon(uid, True)
+        """The old process reports no more."""
+        self.transfer.reports_ended()
 
-    def uncordon(self, uid: str) -> None:
-        self._operable()
-        if uid in self.journal.cordoned:
-            self._cordon(uid, False)
-        elif uid not in self.uids:
-            raise Refused("no such endpoint")
+    # Ends of messages
 
-    def _cordon(self, uid: str, on: bool) -> None:
-        """Recorded before it is told: what was said to an operator outlasts the process."""
-        try:
-            self.journal.record_cordon(uid, on)
-        except OSError as error:
-            raise Refused(f"can't be recorded: {error}") from None
-        log.info("endpoint %s is %s", uid, "cordoned" if on else "put back")
-        if (endpoint := self.uids.get(uid)) is not None:
-            self.calls.close_idle(endpoint)
-            self.tell(i.EndpointCordoned(endpoint, on))
+    def _message_ended(self, number: int) -> None:
+        self.attempts.next_attempts.pop(number, None)
 
-    def quiesce(self) -> None:
-        """Empty the courier: no more clients are asked for, those that still come are served."""
-        self._operable()
-        if self.closing_at or self.quiet_at:
+    def _finals_accepted(self, numbers: list[int]) -> None:
+        if self.transfer.defer_finals(numbers):
             return
-        log.info("quiesced")
-        self.quiet_at = self.loop.time()
-        self.emptying = self.loop.call_later(LISTEN_S, self._empty)
-
-    def resume(self) -> None:
-        self._operable()
-        if self.closing_at:
-            raise Refused("ending")
-        if self.quiet_at:
-            log.info("resumed")
-        self.quiet_at = 0.0
-        if self.emptying is not None:
-            self.emptying.cancel()
-
-    def _empty(self) -> None:
-        """Close connections between requests, again and again while the courier is being emptied."""
-        self.clients.close_idle()
-        self.emptying = self.loop.call_later(CLOSE_S, self._empty)
-        self._maybe_exit()
+        self.answers.record_notified(numbers)
+        self.lifecycle.exit_if_done()
 
     # The end
 
-    def terminate(self) -> None:
-        """A planned restart: clients that still come are served, what is not done stays in the journal."""
-        if self.closing_at:
-            return
-        if self.frozen and not self.retired:  # it is known in a moment who is to end
-            self.loop.call_later(CLOSE_S, self.terminate)
-            return
-        now = self.loop.time()
-        self.closing_at = now + EXIT_S
-        if self.emptying is not None:
-            self.emptying.cancel()
-        self.loop.call_later(EXIT_S, self._exit)
-        if self.retired:
-            return  # it ends with its last call anyway
-        if not self.started:
-            self._exit()  # it owns nothing yet
-            return
-        self.tell(i.ShutdownScheduled(self.clock() + int(CALLS_S * 1e6)))
-        self.loop.call_later(LISTEN_S, self._stop_clients)
-
-    def _stop_clients(self) -> None:
-        self.clients.take_up()
-        self.clients.stop_listening()
-        self._empty()
-
-    def _maybe_exit(self) -> None:
-        # What still waits for its turn may be sent until the last call must have begun.
-        done = not self.calls.out and not self.journal.messages and not self.events and not self.arrived
-        if self.closing_at and done and not self.clients.clients and not self.clients.listening:
-            self._exit()
-
-    def _exit(self) -> None:
-        if self.closed.done():
-            return
-        self.clients.last_look()
-        if self.arrived:  # a request that is whole gets its answer before its connection ends
-            self.turn()
-        self.closed.set_result(None)
-
     def close(self) -> None:
         """Let go of everything at once; the journal already holds what is open."""
-        self.frozen = True  # a turn that is due would find no journal
+        self.events.paused = True  # a turn that is due would find no journal
         self.watch.stop()
-        self.notices.stop()
+        self.notifier.stop()
         self.calls.close()
         self.clients.close()
         self.journal.close()
-
-
-def refusal(wait_us: int) -> bytes:
-    return b"-BUSY %d\r\n" % -(-wait_us // 1000) if wait_us > 0 else b"-BUSY\r\n"
