--- a/message_relay/server/resp/connection.py
+++ b/message_relay/server/resp/connection.py
@@ -156,9 +156,7 @@
             case SubmitRequest():
                 self.owner.submit(request, reply)
             case PingRequest(text):
-                pong = replies.PONG if text is None else replies.bulk_string(text)
-                reason = self.owner.unready_reason()
-                reply.send(replies.error(reason) if reason else pong)
+                reply.send(_reply_to_ping(text, self.owner.unready_reason()))
             case QuitRequest():
                 self._stop_reading()
                 reply.send(replies.OK)
@@ -269,7 +267,7 @@
 
     def close_if_nothing_unread(self) -> bool:
         """Close it unless the client has sent what is still unread; return whether it was closed."""
-        if self._accepts_requests and self._has_unread_data():
+        if self._accepts_requests and has_unread_data(self.sock):
             return False
         self.close()
         return True
@@ -280,7 +278,7 @@
             return
         if not self.has_sent_valid_request and self.loop.time() - self.connected_at_s < SILENT_CONNECTION_S:
             return
-        if self._accepts_requests and self._has_unread_data():
+        if self._accepts_requests and has_unread_data(self.sock):
             self._on_readable()
         else:
             self.close()
@@ -288,7 +286,7 @@
     def read_pending(self) -> None:
         """Read what has arrived by now: nothing will be read after this."""
         for _ in range(FINAL_READS):
-            if not self._accepts_requests or not self._has_unread_data():
+            if not self._accepts_requests or not has_unread_data(self.sock):
                 return
             self._on_readable()
 
@@ -296,12 +294,6 @@
     def _accepts_requests(self) -> bool:
         return not self.closing and self.read_pause is None
 
-    def _has_unread_data(self) -> bool:
-        try:
-            return bool(self.sock.recv(1, socket.MSG_PEEK))
-        except OSError:
-            return False
-
     def close(self) -> None:
         """Close it at once; replies that are pending are lost."""
         if self.closed:
@@ -313,3 +305,17 @@
             self.read_pause.cancel()
         self.sock.close()
         self.owner.connection_closed(self)
+
+
+def has_unread_data(sock: socket.socket) -> bool:
+    """Return whether the kernel holds data of the peer that was not read yet."""
+    try:
+        return bool(sock.recv(1, socket.MSG_PEEK))
+    except OSError:
+        return False
+
+
+def _reply_to_ping(text: bytes | None, unready_reason: str) -> bytes:
+    if unready_reason:
+        return replies.error(unready_reason)
+    return replies.PONG if text is None else replies.bulk_string(text)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -182,9 +182,9 @@
     idle_clients = [await Client().open(fleet.port_of_host()) for _ in range(max_connections - 1)]
     for n, client in enumerate(idle_clients):
         assert await client.put(f"m{n}") == "+OK"
-    new_client = [await Client().open(fleet.port_of_host()) for _ in range(max_connections // 2)]
+    new_clients = [await Client().open(fleet.port_of_host()) for _ in range(max_connections // 2)]
     await asyncio.sleep(0)
-    for n, client in enumerate(new_client):
+    for n, client in enumerate(new_clients):
         assert await client.put(f"f{n}") == "+OK"
 
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -123,7 +123,7 @@
     sender.send(Client.message("m")[:20])
     while not client.reader.mid_request:
         await asyncio.sleep(0.01)
-    sender.send(b"x")  # unread, and no more of a whole request than before
+    sender.send(b"x")  # unread, and no more of a complete request than before
     client.close_at_s = 0.0
     client.close_if_overdue(client.connected_at_s + connection.REQUEST_TIMEOUT_S)
     assert (await sender.line()).startswith("-ERR")
--- a/tests/test_quiesce.py
+++ b/tests/test_quiesce.py
@@ -5,6 +5,7 @@
 from loopback import Client, answer, bounded, courier
 
 from message_relay.server import lifecycle
+from message_relay.server.resp.connection import has_unread_data
 
 PING = Client.command(b"PING")
 
@@ -61,7 +62,7 @@
     host = fleet.host
     served = next(iter(host.clients.connections))
     client.writer.write(Client.message("m"))
-    while not served._has_unread_data():
+    while not has_unread_data(served.sock):
         pass  # the loop is not let go: the request lies unread
     host.clients.close_idle_connections()
     assert await client.line() == "+OK"
