--- a/message_relay/policy/admission.py
+++ b/message_relay/policy/admission.py
@@ -89,7 +89,7 @@
     """Give back what waits for a destination at fault before it keeps out what could be sent at once."""
     while len(state.messages) > max(1, state.settings.max_open_messages - FREE_PLACES):
         destination = max(state.destinations.values(), key=lambda d: len(d.queue))
-        if len(destination.queue) < 2:
+        if len(destination.queue) <= 1:
             return
         least = min(destination.queue, key=functools.partial(_shedding_rank, state))
         final_answer.finish(state, least)
--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -44,7 +44,7 @@
         group.bucket.tokens -= 1.0
     if circuit.open:
         circuit.half_open_call = call
-    if circuit.slow_start_since_us >= 0 or circuit.open and state.large_fleet:
+    if circuit.slow_start_since_us >= 0 or (circuit.open and state.large_fleet):
         circuit.bucket.tokens -= 1.0
     group.recovery.bucket.tokens -= 1.0
     for member in (message, *selection.batch_companions(state, message, endpoint)):
--- a/message_relay/policy/circuit_breaker.py
+++ b/message_relay/policy/circuit_breaker.py
@@ -46,7 +46,8 @@
 
 def _opens_early(state: PolicyState, circuit: CircuitBreaker, result: AttemptResult) -> bool:
     """In a large fleet one failure opens the circuit, or two calls without an answer: three of each of
-    hundreds of instances are more than a recovering destination bears. The next answer closes it."""
+    hundreds of instances are more than a recovering destination bears. The next answer closes it.
+    """
     if not state.large_fleet or result is AttemptResult.REJECTED:
         return False
     return result is not AttemptResult.TIMEOUT or circuit.failure_rate >= TWO_FAILURES_RATE
--- a/message_relay/policy/delivery_policy.py
+++ b/message_relay/policy/delivery_policy.py
@@ -8,8 +8,8 @@
 from message_relay import model
 from message_relay.policy import admission, attempts, final_answer, membership, rate_limiter, slow_start
 from message_relay.policy.limits import derive_limits
-from message_relay.policy_state import PolicyState
 from message_relay.policy_snapshot import restore
+from message_relay.policy_state import PolicyState
 
 LIMIT_FIELD = "x1"  # a load report's name for the limit, in calls a second of all instances together
 LIMIT_LEFT_FIELD = "x0"  # and for the share of it that is left just now
--- a/message_relay/policy/rate_limiter.py
+++ b/message_relay/policy/rate_limiter.py
@@ -112,7 +112,8 @@
 
 def grow(state: PolicyState, group: EndpointGroup) -> None:
     """A call succeeded: raise the rate, fast up to where it was last rejected, then slowly, the faster the
-    longer ago that was: growth at one pace met a rejection in ten calls."""
+    longer ago that was: growth at one pace met a rejection in ten calls.
+    """
     rate, since_cut_us = group.rate_limit_per_s, state.now_us - group.rate_cut_until_us
     if not rate:
         return
--- a/message_relay/policy/recovery_budget.py
+++ b/message_relay/policy/recovery_budget.py
@@ -16,7 +16,7 @@
 
 def record_failure(state: PolicyState, group: EndpointGroup, shut_down: bool = False) -> None:
     """A failure there, or a Retry-After so long that only a destination that was shut down gives it."""
-    if state.large_fleet or _answers(state, group) and not shut_down or _bears_detection(state, group):
+    if state.large_fleet or (_answers(state, group) and not shut_down) or _bears_detection(state, group):
         return
     recovery = group.recovery
     if recovery.since_us < 0:
@@ -49,7 +49,8 @@
 
 def record_success(state: PolicyState, group: EndpointGroup) -> None:
     """The first answer ends the limit. After an outage each endpoint in use starts slowly then, with
-    nothing saved up: the call that was answered was its part."""
+    nothing saved up: the call that was answered was its part.
+    """
     if group.recovery.since_us < 0:
         return
     group.recovery.since_us = -1
--- a/message_relay/policy/slow_start.py
+++ b/message_relay/policy/slow_start.py
@@ -60,7 +60,8 @@
 
 def credit_arrival(state: PolicyState, group: EndpointGroup) -> None:
     """In a large fleet a recovering group gets a share of the new messages: summed over the fleet it follows
-    the total. None is saved up during a Retry-After: all instances would use it in the same moment."""
+    the total. None is saved up during a Retry-After: all instances would use it in the same moment.
+    """
     circuit = group.shared_circuit
     if circuit is None or state.now_us < group.retry_after_until_us:
         return
--- a/message_relay/policy_state.py
+++ b/message_relay/policy_state.py
@@ -18,8 +18,8 @@
     LogMessage,
     MessageClass,
     MessageSubmitted,
-    Settings,
     SetTimer,
+    Settings,
 )
 
 INITIAL_SLOT_OCCUPANCY_US = 1e5
@@ -208,7 +208,7 @@
 
 @dataclass(slots=True, eq=False)
 class TenantQuota:
-    """This instance's part of a tenant's quota."""
+    """The instance's part of a tenant's quota."""
 
     rate_per_s: float
     bucket: TokenBucket
--- a/message_relay/server/attempt_runner.py
+++ b/message_relay/server/attempt_runner.py
@@ -36,6 +36,7 @@
 
     def __init__(
         self,
+        *,
         settings: Settings,
         policy: DeliveryPolicy,
         journal: Journal,
@@ -104,7 +105,8 @@
 
     def _lead_with_longest(self, attempts: list[CallAttempt]) -> list[CallAttempt]:
         """A batch is one call, waited for as long as its first message may wait: led by one whose time is up
-        sooner, it would count as given up while the others are still waited for."""
+        sooner, it would count as given up while the others are still waited for.
+        """
         messages, margin_us = self._journal.messages, DEADLINE_MARGIN_TURNS * self._settings.turn_interval_us
         attempts = sorted(attempts, key=lambda attempt: -messages[attempt.message_number].deadline_s)
         longest_us = max(attempt.timeout_us for attempt in attempts)
--- a/message_relay/server/discovery/connection.py
+++ b/message_relay/server/discovery/connection.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 
 from message_relay.server.configuration import Address
-from message_relay.server.http.connection import HttpConnection
 from message_relay.server.discovery.backoff import ReconnectBackoff
+from message_relay.server.http.connection import HttpConnection
 
 # A connection that is not up after this long is given up: part of the 6 s in `endpoint_watch`.
 CONNECT_TIMEOUT_S = 1.0
--- a/message_relay/server/discovery/endpoint_watch.py
+++ b/message_relay/server/discovery/endpoint_watch.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from message_relay.server.configuration import Address
-from message_relay.server.http.response_handler import ResponseHandler
 from message_relay.server.discovery.backoff import CeilingLimits, ReconnectBackoff
 from message_relay.server.discovery.connection import DiscoveryConnection, DiscoveryError
+from message_relay.server.http.response_handler import ResponseHandler
 
 # The service sends an empty line every 2 s: a watch that is silent for longer is taken for dead.
 SILENCE_TIMEOUT_S = 2.7
--- a/message_relay/server/discovery/final_notifier.py
+++ b/message_relay/server/discovery/final_notifier.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from message_relay.server.configuration import Address
-from message_relay.server.http.response_handler import ResponseHandler
 from message_relay.server.discovery.connection import DiscoveryConnection
+from message_relay.server.http.response_handler import ResponseHandler
 
 # The service answers notices at once: after this long the batch is sent again.
 RESPONSE_TIMEOUT_S = 1.0
--- a/message_relay/server/hot_restart/channel.py
+++ b/message_relay/server/hot_restart/channel.py
@@ -28,7 +28,8 @@
 
 def socket_path(environment: Mapping[str, str], state_directory: Path) -> Path:
     """Where the process that owns the state directory listens. Instances that share $TMPDIR have names of
-    their own."""
+    their own.
+    """
     digest = hashlib.blake2b(str(state_directory.resolve()).encode(), digest_size=6).hexdigest()
     return Path(environment.get("TMPDIR") or tempfile.gettempdir()) / f"hopmill-{digest}.sock"
 
--- a/message_relay/server/hot_restart/frames.py
+++ b/message_relay/server/hot_restart/frames.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any
 
@@ -173,25 +174,21 @@
 )
 
 
+_DECODERS: dict[str, Callable[[list[Any]], Frame]] = {
+    "take": lambda values: HandoverRequested(values[0]),
+    "no": lambda values: HandoverRejected(values[0]),
+    "state": lambda values: StateHandedOver(ServerSnapshot.from_wire(values[0]), values[1]),
+    "clients": lambda values: ClientsHandedOver(values[0]),
+    "end": lambda values: HandoverComplete(),
+    "owned": lambda values: OwnershipTaken(),
+    "ended": AttemptEndedReport.decode,
+    "wait": lambda values: RetryAfterReport(values[0], values[1]),
+    "load": lambda values: LoadReport(values[0], values[1]),
+}
+
+
 def decode(values: list[Any]) -> Frame:
     """A frame from its values. LookupError, TypeError or ValueError if they are not those of its kind."""
-    match values[0]:
-        case "take":
-            return HandoverRequested(values[1])
-        case "no":
-            return HandoverRejected(values[1])
-        case "state":
-            return StateHandedOver(ServerSnapshot.from_wire(values[1]), values[2])
-        case "clients":
-            return ClientsHandedOver(values[1])
-        case "end":
-            return HandoverComplete()
-        case "owned":
-            return OwnershipTaken()
-        case "ended":
-            return AttemptEndedReport.decode(values[1:])
-        case "wait":
-            return RetryAfterReport(values[1], values[2])
-        case "load":
-            return LoadReport(values[1], values[2])
-    return UnknownFrame(values[0])
+    kind, *rest = values
+    decoder = _DECODERS.get(kind)
+    return decoder(rest) if decoder else UnknownFrame(kind)
--- a/message_relay/server/lifecycle.py
+++ b/message_relay/server/lifecycle.py
@@ -29,6 +29,7 @@
 
     def __init__(
         self,
+        *,
         loop: asyncio.AbstractEventLoop,
         events: EventQueue,
         journal: Journal,
--- a/message_relay/server/operations.py
+++ b/message_relay/server/operations.py
@@ -23,6 +23,7 @@
 
     def __init__(
         self,
+        *,
         policy: DeliveryPolicy,
         events: EventQueue,
         journal: Journal,
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -49,7 +49,13 @@
         self.retry_after = RetryAfterTable(settings.kinds)
         self.answers = FinalAnswers(loop, self.journal, self.events, self.metrics)
         self.attempts = AttemptRunner(
-            settings, self.policy, self.journal, self.events, self.answers, self.metrics, self.retry_after
+            settings=settings,
+            policy=self.policy,
+            journal=self.journal,
+            events=self.events,
+            answers=self.answers,
+            metrics=self.metrics,
+            retry_after=self.retry_after,
         )
         self.calls = EndpointCallClient(
             loop,
@@ -61,14 +67,14 @@
         self.directory = EndpointDirectory(settings, configuration.zones, self.calls, self.retry_after)
         self.attempts.calls, self.attempts.directory = self.calls, self.directory
         self.submissions = Submissions(
-            settings,
-            self.policy,
-            self.journal,
-            self.events,
-            self.directory,
-            self.attempts,
-            self.answers,
-            self.metrics,
+            settings=settings,
+            policy=self.policy,
+            journal=self.journal,
+            events=self.events,
+            directory=self.directory,
+            attempts=self.attempts,
+            answers=self.answers,
+            metrics=self.metrics,
         )
         self.clients = ClientServer(
             self.submissions.submit,
@@ -76,13 +82,30 @@
             self.unready_reason,
         )
         self.lifecycle = Lifecycle(
-            loop, self.events, self.journal, self.clients, self.calls, self.submissions
+            loop=loop,
+            events=self.events,
+            journal=self.journal,
+            clients=self.clients,
+            calls=self.calls,
+            submissions=self.submissions,
         )
         self.operations = Operations(
-            self.policy, self.events, self.journal, self.directory, self.calls, self.metrics, self.lifecycle
+            policy=self.policy,
+            events=self.events,
+            journal=self.journal,
+            directory=self.directory,
+            calls=self.calls,
+            metrics=self.metrics,
+            lifecycle=self.lifecycle,
         )
         self.turns = TurnRunner(
-            loop, self.policy, self.events, self.submissions, self.attempts, self.answers, self.calls
+            loop=loop,
+            policy=self.policy,
+            events=self.events,
+            submissions=self.submissions,
+            attempts=self.attempts,
+            answers=self.answers,
+            calls=self.calls,
         )
         self.notifier = FinalNotifier(loop, configuration.discovery_address, self._finals_accepted)
         self.watch = EndpointWatch(
--- a/message_relay/server/submission.py
+++ b/message_relay/server/submission.py
@@ -69,6 +69,7 @@
 
     def __init__(
         self,
+        *,
         settings: Settings,
         policy: DeliveryPolicy,
         journal: Journal,
@@ -95,7 +96,8 @@
 
     def submit(self, request: SubmitRequest, reply: ReplyHandle) -> None:
         """A client submits a message; it is answered in the turn that follows. InvalidRequestError if it is
-        not a message of this relay's."""
+        not a message of this relay's.
+        """
         message_class, tenant = self._check(request)
         if self._events.paused:
             reply.send(replies.busy(self._policy.come_back_us()))
--- a/message_relay/server/turn.py
+++ b/message_relay/server/turn.py
@@ -36,6 +36,7 @@
 
     def __init__(
         self,
+        *,
         loop: asyncio.AbstractEventLoop,
         policy: DeliveryPolicy,
         events: EventQueue,
