--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -1,23 +1,23 @@
-"""Cordon and uncordon: what the module sends, what is written, and what lasts."""
+"""Cordon and uncordon: what the policy sends, what is written, and what lasts."""
 
 import asyncio
 
 from loopback import answer, courier
 
-from message_relay.policy.delivery_policy import DeliveryPolicy
 from message_relay.model import (
     AttemptEnded,
+    AttemptResult,
     EndpointCordoned,
-    EndpointListReceived,
-    EndpointState,
     EndpointEntry,
     EndpointListForm,
-    MessageSubmitted,
+    EndpointListReceived,
+    EndpointState,
     MessageClass,
-    AttemptResult,
+    MessageSubmitted,
     SendAttempt,
     Settings,
 )
+from message_relay.policy.delivery_policy import DeliveryPolicy
 
 LISTED = EndpointListReceived(
     EndpointListForm.COMPLETE,
@@ -25,7 +25,7 @@
 )
 
 
-def module():
+def make_policy():
     return DeliveryPolicy(
         Settings(
             classes=(MessageClass("c", 800_000, 60_000_000),),
@@ -39,43 +39,43 @@
     )
 
 
-def sends(courier, now, *events):
-    return [a for a in courier.handle(now, events) if isinstance(a, SendAttempt)]
+def sends(policy, now, *events):
+    return [a for a in policy.handle(now, events) if isinstance(a, SendAttempt)]
 
 
-def test_nothing_new_goes_to_a_cordoned_endpoint_whatever_the_list_says():
-    courier = module()
-    sends(courier, 0, LISTED, EndpointCordoned(1))
-    to, message, now = [], 0, 0
+def test_cordoned_endpoint_gets_nothing_new_whatever_the_list_says():
+    policy = make_policy()
+    sends(policy, 0, LISTED, EndpointCordoned(1))
+    endpoints, message, now = [], 0, 0
     for _ in range(200):
         message, now = message + 1, now + 50_000
-        out = sends(courier, now, LISTED, MessageSubmitted(message, 0, 7, now + 60_000_000))
-        to += [a.endpoint for a in out]
-        for a in out:
-            courier.handle(now + 1000, [AttemptEnded(a.message, 0, a.endpoint, AttemptResult.OK, 1000, True)])
-    assert set(to) == {2} and len(to) > 150
-    assert courier.avoided_endpoints() == [1]
+        sent = sends(policy, now, LISTED, MessageSubmitted(message, 0, 7, now + 60_000_000))
+        endpoints += [a.endpoint for a in sent]
+        for a in sent:
+            policy.handle(now + 1000, [AttemptEnded(a.message, 0, a.endpoint, AttemptResult.OK, 1000, True)])
+    assert set(endpoints) == {2} and len(endpoints) > 150
+    assert policy.avoided_endpoints() == [1]
 
 
-def test_an_endpoint_put_back_starts_slowly():
+def test_uncordoned_endpoint_starts_slowly():
     def calls(*events):
-        courier = module()
+        policy = make_policy()
         listed = EndpointListReceived(EndpointListForm.COMPLETE, (EndpointEntry(1, 7, EndpointState.READY),))
-        sends(courier, 0, listed, *events)
+        sends(policy, 0, listed, *events)
         now, count = 0, 0
         for message in range(400):
             now += 5_000
-            out = sends(courier, now, MessageSubmitted(message, 0, 7, now + 60_000_000))
-            count += len(out)
-            for a in out:
-                courier.handle(now + 1000, [AttemptEnded(a.message, 0, 1, AttemptResult.OK, 1000, True)])
-        return count, courier
+            sent = sends(policy, now, MessageSubmitted(message, 0, 7, now + 60_000_000))
+            count += len(sent)
+            for a in sent:
+                policy.handle(now + 1000, [AttemptEnded(a.message, 0, 1, AttemptResult.OK, 1000, True)])
+        return count, policy
 
     usual, _ = calls()
-    slow, courier = calls(EndpointCordoned(1), EndpointCordoned(1), EndpointCordoned(1, False))
+    slow, policy = calls(EndpointCordoned(1), EndpointCordoned(1), EndpointCordoned(1, False))
     never, _ = calls(EndpointCordoned(1, False))  # it was not cordoned: nothing changes
     assert usual == never == 400 and 0 < slow < usual / 10
-    assert courier.avoided_endpoints() == []
+    assert policy.avoided_endpoints() == []
 
 
 @courier
--- /dev/null
+++ b/tests/test_mid_size_fleet.py
@@ -0,0 +1,119 @@
+"""Fleets of some tens of instances."""
+
+from policy_driver import CLASSES, SECOND, actions_of, endpoint_entry, mid_size_fleet
+
+from message_relay.model import (
+    AttemptEnded,
+    AttemptResult,
+    EndpointListForm,
+    EndpointListReceived,
+    LoadReportReceived,
+    MessageSubmitted,
+    SendAttempt,
+    Settings,
+)
+from message_relay.policy.delivery_policy import DeliveryPolicy
+
+
+def test_dead_endpoint_opens_no_other_circuit_at_forty_instances():
+    driver = mid_size_fleet(endpoints=2)
+    for _ in range(6):  # each is retried elsewhere until the dead endpoint is known as such
+        for action in actions_of(SendAttempt, driver.submit(after=SECOND)):
+            driver.end_attempt(
+                action.message,
+                AttemptResult.CONNECT_FAILED if action.endpoint == 100 else AttemptResult.OK,
+                endpoint=action.endpoint,
+            )
+        for action in actions_of(SendAttempt, driver.advance(1)):
+            driver.end_attempt(
+                action.message,
+                AttemptResult.CONNECT_FAILED if action.endpoint == 100 else AttemptResult.OK,
+                endpoint=action.endpoint,
+            )
+    circuit = driver.policy.state.endpoints[100].circuit
+    circuit.open, circuit.half_open_at_us = True, driver.now + 60 * SECOND
+    assert not driver.policy.state.endpoints[101].circuit.open
+    assert [action.endpoint for action in actions_of(SendAttempt, driver.submit(after=SECOND))] == [101]
+
+
+def test_one_lost_connection_opens_no_circuit_at_forty_instances():
+    driver = mid_size_fleet()
+    driver.submit()
+    driver.end_attempt(1, AttemptResult.CONNECT_FAILED)
+    assert not driver.policy.state.endpoints[100].circuit.open
+
+
+def test_first_calls_of_forty_instances_spread_over_the_endpoints():
+    first = {}
+    for seed in range(40):
+        policy = DeliveryPolicy(
+            Settings(
+                classes=CLASSES, call_slots=4, max_open_messages=50, instance_count=40, instance_index=seed
+            ),
+            seed,
+        )
+        actions = policy.handle(
+            SECOND,
+            [
+                EndpointListReceived(
+                    EndpointListForm.CACHED, tuple(endpoint_entry(100 + n) for n in range(4))
+                ),
+                MessageSubmitted(1, 0, 1, 9 * SECOND),
+            ],
+        )
+        first.setdefault(actions_of(SendAttempt, actions)[0].endpoint, []).append(seed)
+    assert len(first) == 4 and max(map(len, first.values())) < 20
+
+
+def test_instance_keeps_its_connection_among_equal_endpoints():
+    driver = mid_size_fleet(endpoints=4)
+    used = set()
+    for _ in range(10):
+        (action,) = actions_of(SendAttempt, driver.submit(after=100_000))
+        used.add(action.endpoint)
+        driver.end_attempt(action.message, AttemptResult.OK, endpoint=action.endpoint)
+    assert len(used) == 1  # one more would cost a handshake, and a place in its table of connections
+
+
+def test_instances_that_start_together_send_first_calls_and_then_their_part():
+    instance_count, limit = 40, 40.0
+    settings = dict(
+        classes=CLASSES,
+        call_slots=4,
+        max_open_messages=100,
+        max_attempts=12,
+        load_report_fields=("x0", "x1"),
+        instance_count=instance_count,
+        turn_interval_us=5000,
+    )
+    now, counts = 1000 * SECOND, [0, 0]
+    policies = [
+        DeliveryPolicy(Settings(instance_index=instance, **settings), instance)
+        for instance in range(instance_count)
+    ]
+    in_flight = {}
+    for instance, policy in enumerate(policies):  # restored, or submitted while all were starting
+        events = [EndpointListReceived(EndpointListForm.CACHED, (endpoint_entry(100),))]
+        events += [MessageSubmitted(n, 0, 1, now + 10 * SECOND) for n in range(1, 7)]
+        in_flight[instance] = actions_of(SendAttempt, policy.handle(now, events))
+    for step in range(200):  # 2 s; a response takes 100 ms and reports the limit
+        now += 10_000
+        for instance, policy in enumerate(policies):
+            events = []
+            for action in in_flight.pop(instance, []) if step % 10 == 9 else []:
+                counts[step >= 100] += 1
+                events += [
+                    LoadReportReceived(100, (0.5, limit)),
+                    AttemptEnded(
+                        action.message,
+                        policy.state.messages[action.message].attempts - 1,
+                        100,
+                        AttemptResult.OK,
+                        100_000,
+                        True,
+                        0,
+                    ),
+                ]
+            in_flight.setdefault(instance, []).extend(actions_of(SendAttempt, policy.handle(now, events)))
+    assert instance_count <= counts[0] <= 1.2 * instance_count  # otherwise each would send its part on top
+    assert counts[1] >= 0.7 * limit
--- /dev/null
+++ b/tests/test_rate_limiter.py
@@ -0,0 +1,107 @@
+"""Retry-After, the rate limit and its token bucket."""
+
+from policy_driver import SECOND, PolicyDriver, actions_of, serve, warm_up
+
+from message_relay.model import (
+    AttemptEnded,
+    AttemptResult,
+    DestinationKind,
+    EndpointEntry,
+    EndpointListForm,
+    EndpointListReceived,
+    EndpointState,
+    LoadReportReceived,
+    SendAttempt,
+)
+
+
+def test_retry_after_holds_for_every_message():
+    driver = PolicyDriver()
+    driver.submit()
+    driver.end_attempt(1, AttemptResult.REJECTED, retry_after=SECOND)
+    sent = actions_of(SendAttempt, driver.submit() + driver.advance(0.95))
+    assert not sent
+    assert actions_of(SendAttempt, driver.advance(0.2))
+
+
+def test_longest_retry_after_of_a_batched_call_holds():
+    driver = PolicyDriver(kinds=(DestinationKind("k", max_batch_size=3),))
+    warm_up(driver)
+    driver.run_turn(
+        EndpointListReceived(EndpointListForm.DELTA, (EndpointEntry(100, 1, EndpointState.DRAINING),))
+    )
+    driver.submit()
+    driver.submit()
+    actions = driver.run_turn(
+        EndpointListReceived(EndpointListForm.DELTA, (EndpointEntry(100, 1, EndpointState.READY),)),
+        after=SECOND,
+    )
+    first, second = actions_of(SendAttempt, actions)
+    driver.end_attempt(first.message, AttemptResult.REJECTED, retry_after=0, after=0)
+    driver.end_attempt(second.message, AttemptResult.REJECTED, retry_after=2 * SECOND, after=0)
+    assert not actions_of(SendAttempt, driver.submit() + driver.advance(1.95))
+    assert actions_of(SendAttempt, driver.advance(0.2))
+
+
+def test_rate_grows_slowly_near_the_last_rejected_rate():
+    def growth(rejected):
+        driver = PolicyDriver(rate=4.0, instance_count=2)
+        serve(driver, 3, AttemptResult.OK)
+        if rejected:
+            for action in actions_of(SendAttempt, driver.submit() + driver.advance(1)):
+                driver.end_attempt(action.message, AttemptResult.REJECTED)
+        group = driver.policy.state.endpoints[100].group
+        group.last_rejected_rate_per_s = group.rate_limit_per_s = 2.0
+        serve(driver, 3, AttemptResult.OK)
+        return group.rate_limit_per_s - 2.0
+
+    assert 0 < growth(True) < 0.7 * growth(False)
+
+
+def test_token_bucket_is_smaller_where_rejected_calls_have_a_cost():
+    def at_once(cost):
+        driver = PolicyDriver(rate=10.0, call_slots=40, rejected_call_cost=cost)
+        driver.policy.state.endpoints[100].group.concurrency_window = 20.0
+        driver.advance(2)
+        return sum(len(actions_of(SendAttempt, driver.submit())) for _ in range(12))
+
+    assert 1 < at_once(0.1) < at_once(0.0) < 12
+
+
+def test_calls_for_ended_messages_do_not_consume_the_rate_limit():
+    driver = PolicyDriver()
+    driver.submit()
+    driver.end_attempt(1, AttemptResult.OK)
+    driver.submit()
+    # From here on the destination's rate is limited to a call in two seconds.
+    driver.end_attempt(2, AttemptResult.REJECTED, retry_after=SECOND)
+    driver.advance(4)
+    for n in range(3, 7):
+        assert [action.message for action in actions_of(SendAttempt, driver.submit())] == [n]
+        driver.run_turn(
+            AttemptEnded(n, 0, 100, AttemptResult.NOT_ATTEMPTED, 1000, message_ended=True),
+            after=SECOND // 100,
+        )
+
+
+def sends_in_a_second(driver, limit):
+    """How many of twelve more messages are sent within a second after a load report with the limit."""
+    actions, sent = driver.run_turn(LoadReportReceived(100, (0.5, limit)), after=SECOND), 0
+    for _ in range(12):
+        actions += driver.submit()
+    for _ in range(40):
+        sends = actions_of(SendAttempt, actions)
+        sent += len(sends)
+        actions = driver.run_turn(
+            *(AttemptEnded(action.message, 0, 100, AttemptResult.OK, 20_000, True) for action in sends),
+            after=SECOND // 40,
+        )
+    return sent
+
+
+def test_rate_follows_the_limit_in_load_reports():
+    driver = PolicyDriver(instance_count=2, load_report_fields=("x0", "x1"))
+    assert sends_in_a_second(driver, 100.0) == 12
+    few = sends_in_a_second(driver, 4.0)
+    assert few < 9  # this instance's part is two a second, and success had doubled its rate
+    assert sends_in_a_second(driver, 100.0) == 12 + 12 - few  # and at once when it is back
--- /dev/null
+++ b/tests/test_restored_messages.py
@@ -0,0 +1,122 @@
+"""Messages accepted and not attempted before a restart are attempted after it, in small and large fleets."""
+
+import asyncio
+import signal
+
+import pytest
+from loopback import Fleet, bounded
+from policy_driver import CLASSES, SECOND, PolicyDriver, actions_of
+
+from message_relay.model import AttemptResult, FailMessage, MessageSubmitted, RejectMessage, SendAttempt
+
+SMALL, LARGE = 2, 200
+RESTORED, SLOTS = 30, 4
+
+
+class Restarted:
+    """A policy whose first turn brings restored messages, while new ones keep coming."""
+
+    def __init__(
+        self, instance_count, message_class, lifetime, latency, result=AttemptResult.OK, retry_after=0
+    ):
+        self.driver = PolicyDriver(
+            call_slots=SLOTS, instance_count=instance_count, max_open_messages=RESTORED + 4
+        )
+        self.latency, self.result, self.retry_after = latency, result, retry_after
+        self.attempted, self.ended, self.in_flight = [], [], []
+        deadline_us = self.driver.now + lifetime
+        restored = (
+            MessageSubmitted(n, message_class, 1, deadline_us, restored=True) for n in range(1, RESTORED + 1)
+        )
+        self.record(self.driver.run_turn(*restored))
+        self.driver.last_message = 1000
+
+    def record(self, actions):
+        self.attempted += [action.message for action in actions_of(SendAttempt, actions)]
+        self.in_flight += [
+            (self.driver.now + self.latency, action.message, action.endpoint)
+            for action in actions_of(SendAttempt, actions)
+        ]
+        self.ended += [
+            action.message for action in actions_of(RejectMessage, actions) + actions_of(FailMessage, actions)
+        ]
+
+    def run(self, seconds, new_messages=0):
+        for step in range(round(seconds * 20)):
+            self.driver.now += 50_000
+            self.record(self.driver.run_turn())
+            for due in [x for x in self.in_flight if x[0] <= self.driver.now]:
+                self.in_flight.remove(due)
+                result, retry_after = self.result, self.retry_after
+                self.result, self.retry_after = AttemptResult.OK, 0  # only the first is answered otherwise
+                self.record(self.driver.end_attempt(due[1], result, self.latency, 0, due[2], retry_after))
+            for _ in range(new_messages if step % 2 else 0):
+                self.record(self.driver.submit(message_class=0))
+        return {n for n in self.attempted if n <= RESTORED}
+
+
+@pytest.mark.parametrize("message_class", range(len(CLASSES)), ids=[c.name for c in CLASSES])
+@pytest.mark.parametrize("instance_count", [SMALL, LARGE])
+def test_more_restored_messages_than_slots_are_attempted_before_new_ones(instance_count, message_class):
+    assert (
+        len(Restarted(instance_count, message_class, 3 * SECOND, 100_000).run(3, new_messages=3)) == RESTORED
+    )
+
+
+@pytest.mark.parametrize("instance_count", [SMALL, LARGE])
+def test_restored_messages_get_all_slots_of_a_slow_destination(instance_count):
+    restarted = Restarted(instance_count, 0, 6 * SECOND, 500_000)
+    assert len(restarted.run(6, new_messages=3)) > RESTORED / 2
+    assert sorted(restarted.attempted[:RESTORED]) == list(range(1, RESTORED + 1))
+
+
+@pytest.mark.parametrize("instance_count", [SMALL, LARGE])
+def test_rejection_ends_one_restored_message_and_the_others_follow_after_the_wait(instance_count):
+    restarted = Restarted(instance_count, 0, 9 * SECOND, 100_000, AttemptResult.REJECTED, retry_after=300_000)
+    assert len(restarted.run(9, new_messages=1)) == RESTORED
+    assert [n for n in restarted.ended if n <= RESTORED] == [1]
+
+
+@pytest.mark.parametrize("instance_count", [SMALL, LARGE])
+def test_new_messages_are_rejected_before_restored_ones(instance_count):
+    # Nothing can be sent: the one endpoint is silent. New messages are rejected, and no restored one.
+    restarted = Restarted(instance_count, 0, 9 * SECOND, 99 * SECOND)
+    restarted.run(5, new_messages=3)
+    assert len([n for n in restarted.ended if n > RESTORED]) > 20
+    assert [n for n in restarted.ended if n <= RESTORED] == []
+
+
+def test_restored_message_with_the_nearest_deadline_goes_first():
+    driver = PolicyDriver()
+    lifetimes_s = {1: 9, 2: 4, 3: 6}
+    driver.run_turn(
+        *(MessageSubmitted(n, 0, 1, driver.now + s * SECOND, restored=True) for n, s in lifetimes_s.items())
+    )
+    driver.end_attempt(2, AttemptResult.OK)
+    driver.end_attempt(3, AttemptResult.OK)
+    assert list(driver.attempts_sent) == [2, 3, 1]
+
+
+@pytest.mark.parametrize("instance_count", [SMALL, LARGE])
+@pytest.mark.parametrize("stop_signal", [signal.SIGTERM, signal.SIGKILL])
+def test_messages_of_each_class_are_attempted_after_a_restart(tmp_path, stop_signal, instance_count):
+    async def run():
+        async with Fleet(tmp_path) as fleet:
+            fleet.raw["groupSize"] = instance_count
+            fleet.raw["familyInfo"]["maxCalls"] = SLOTS
+            endpoint = await fleet.endpoint("a")
+            fleet.discovery.targets["a"]["state"] = "terminating"  # so that nothing is attempted before
+            client = await fleet.outside()
+            message_ids = [f"m{n}" for n in range(18)]
+            for n, message_id in enumerate(message_ids):
+                kind = ("safe", "keyed", "unsafe")[n % 3]
+                assert await client.put(message_id, kind=kind, key=f"k{n}" * (n % 3 == 1), life=6000) == "+OK"
+            fleet.process.send_signal(stop_signal)
+            await bounded(fleet.process.wait())
+            assert endpoint.calls.empty()
+            fleet.discovery.targets["a"]["state"] = "in_service"
+            await fleet.outside()
+            assert {(await endpoint.call())[1]["x-request-id"] for _ in message_ids} == set(message_ids)
+            assert fleet.discovery.finals.empty()
+
+    asyncio.run(run())
--- a/tests/test_wire.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Frames built from the field tables of the wire's page, and what is malformed."""
+"""Frames built from the field tables of the wire's description, and malformed frames."""
 
 import json
 import os
@@ -8,9 +8,9 @@
 
 import pytest
 
-from message_relay import model as i
-from message_relay.simulator_adapter import frames as wire
+from message_relay import model
 from message_relay.policy.delivery_policy import DeliveryPolicy
+from message_relay.simulator_adapter import frames as wire
 from message_relay.simulator_adapter.loop import Adapter
 from message_relay.simulator_adapter.settings_json import read_settings
 
@@ -64,9 +64,12 @@
     return batch(records, entry + text, seq, now)
 
 
-def arrival(ident, seq, now, instance=3, cls=0):
+def arrival(message, seq, now, instance=3, message_class=0):
     return batch(
-        [record("BH", 1, instance), record("BIBIQQIfH", 2, ident, cls, 0, 0, now + 6_000_000, 0, 57.0, 2)],
+        [
+            record("BH", 1, instance),
+            record("BIBIQQIfH", 2, message, message_class, 0, 0, now + 6_000_000, 0, 57.0, 2),
+        ],
         seq=seq,
         now=now,
     )
@@ -88,29 +91,31 @@
 
 
 def test_settings_are_read_and_unknown_keys_ignored():
-    s = read_settings(json.dumps(SETTINGS))
+    settings = read_settings(json.dumps(SETTINGS))
+    assert (
+        settings.call_slots == 6
+        and settings.kinds == (model.DestinationKind("k", True, 3),)
+        and settings.classes[1].idempotency is model.Idempotency.NON_IDEMPOTENT
+    )
     assert (
-        s.call_slots == 6
-        and s.kinds == (i.DestinationKind("k", True, 3),)
-        and s.classes[1].idempotency is i.Idempotency.NON_IDEMPOTENT
+        settings.max_retry_after_us == 7 and settings.rate_limits_advertised and not settings.hedging_allowed
     )
-    assert s.max_retry_after_us == 7 and s.rate_limits_advertised and not s.hedging_allowed
 
 
 def test_begin_list_and_arrival():
-    got = events(begin_batch())
-    assert got[0][0] == 3 and got[0][1].seed == 80
-    assert got[1][1] == i.EndpointListReceived(
-        i.EndpointListForm.CACHED,
-        (i.EndpointEntry(wire.endpoint_id(ADDRESS, 9003), 57, i.EndpointState.READY, 4.0, 0, 0),),
+    received = events(begin_batch())
+    assert received[0][0] == 3 and received[0][1].seed == 80
+    assert received[1][1] == model.EndpointListReceived(
+        model.EndpointListForm.CACHED,
+        (model.EndpointEntry(wire.endpoint_id(ADDRESS, 9003), 57, model.EndpointState.READY, 4.0, 0, 0),),
     )
-    assert events(arrival(9, 2, 10))[0][1] == i.MessageSubmitted(9, 0, 57, 6_000_010, 0, 0, True)
+    assert events(arrival(9, 2, 10))[0][1] == model.MessageSubmitted(9, 0, 57, 6_000_010, 0, 0, True)
 
 
-def test_a_list_number_used_again_means_the_newer_list():
+def test_reused_list_number_means_the_newer_list():
     entry = struct.pack(">IHHBfQBH", ADDRESS, 1, 1, 1, 0, 0, 0, 0)
     other = struct.pack(">IHHBfQBH", ADDRESS, 2, 1, 0, 0, 0, 0, 0)
-    got = events(
+    received = events(
         batch(
             [
                 record("BH", 1, 0),
@@ -122,12 +127,12 @@
             entry + other,
         )
     )
-    assert [e.entries[0].endpoint & 0xFFFF for _, e in got] == [1, 2]
-    assert got[1][1].entries[0].state is i.EndpointState.REMOVED
+    assert [e.entries[0].endpoint & 0xFFFF for _, e in received] == [1, 2]
+    assert received[1][1].entries[0].state is model.EndpointState.REMOVED
 
 
-def test_outcomes_probes_notes_and_the_rest():
-    got = [
+def test_outcomes_health_checks_gossip_and_other_events():
+    received = [
         e
         for _, e in events(
             batch(
@@ -145,22 +150,22 @@
             )
         )
     ]
-    ep = wire.endpoint_id(ADDRESS, 9003)
-    assert got == [
-        i.AttemptEnded(5, 1, ep, i.AttemptResult.REJECTED, 18, False, 250_000),
-        i.HealthCheckEnded(ep, i.AttemptResult.OK, 1400),
-        i.GossipReceived(2, b"hi 7"),
-        i.MessageWithdrawn(5),
-        i.TimerFired(77),
-        i.ResponseStarted(5, 1, ep),
-        i.EndpointListReceived(i.EndpointListForm.FAILED),
+    endpoint = wire.endpoint_id(ADDRESS, 9003)
+    assert received == [
+        model.AttemptEnded(5, 1, endpoint, model.AttemptResult.REJECTED, 18, False, 250_000),
+        model.HealthCheckEnded(endpoint, model.AttemptResult.OK, 1400),
+        model.GossipReceived(2, b"hi 7"),
+        model.MessageWithdrawn(5),
+        model.TimerFired(77),
+        model.ResponseStarted(5, 1, endpoint),
+        model.EndpointListReceived(model.EndpointListForm.FAILED),
     ]
 
 
-def test_an_answer_with_a_load_report_is_two_events():
+def test_response_with_a_load_report_is_two_events():
     settings = {**SETTINGS, "report": {"fields": ["x0", "x1"], "how": "piggyback"}}
     assert read_settings(json.dumps(settings)).load_report_fields == ("x0", "x1")
-    got = [
+    received = [
         e
         for _, e in events(
             batch(
@@ -171,20 +176,20 @@
             )
         )
     ]
-    ep = wire.endpoint_id(ADDRESS, 9003)
-    assert got == [
-        i.AttemptEnded(5, 1, ep, i.AttemptResult.OK, 18, True),
-        i.LoadReportReceived(ep, (0.5, 25.0)),
+    endpoint = wire.endpoint_id(ADDRESS, 9003)
+    assert received == [
+        model.AttemptEnded(5, 1, endpoint, model.AttemptResult.OK, 18, True),
+        model.LoadReportReceived(endpoint, (0.5, 25.0)),
     ]
 
 
-def test_actions_are_packed_as_the_page_shows():
+def test_actions_are_packed_as_specified():
     reply = wire.ReplyFrame()
     reply.add_instance(3)
-    reply.add_action(i.SendAttempt(0x5D3A91C4, wire.endpoint_id(ADDRESS, 9003), 80_000))
-    reply.add_action(i.SetTimer(500_000, 77))
+    reply.add_action(model.SendAttempt(0x5D3A91C4, wire.endpoint_id(ADDRESS, 9003), 80_000))
+    reply.add_action(model.SetTimer(500_000, 77))
     reply.add_instance(5)
-    reply.add_action(i.LogMessage("two servers known"))
+    reply.add_action(model.LogMessage("two servers known"))
     assert reply.pack(12).hex() == (
         "0000000c"
         "00000005"
@@ -198,14 +203,14 @@
 @pytest.mark.parametrize(
     "action, code",
     [
-        (i.RejectMessage(1, 2), 2),
-        (i.FailMessage(1), 3),
-        (i.CancelAttempt(1, 0), 4),
-        (i.CheckEndpointHealth(1), 6),
-        (i.CloseIdleConnections(1), 7),
-        (i.SendGossip(None, b"x"), 8),
-        (i.SubscribeEndpointList(), 11),
-        (i.FetchEndpointList(), 12),
+        (model.RejectMessage(1, 2), 2),
+        (model.FailMessage(1), 3),
+        (model.CancelAttempt(1, 0), 4),
+        (model.CheckEndpointHealth(1), 6),
+        (model.CloseIdleConnections(1), 7),
+        (model.SendGossip(None, b"x"), 8),
+        (model.SubscribeEndpointList(), 11),
+        (model.FetchEndpointList(), 12),
     ],
 )
 def test_every_action_has_its_code(action, code):
@@ -214,11 +219,11 @@
     assert len(reply.records[0]) == 16 and reply.records[0][0] == code
 
 
-LACKING = {k: v for k, v in SETTINGS.items() if k != "contract"}
+SETTINGS_WITHOUT_CONTRACT = {k: v for k, v in SETTINGS.items() if k != "contract"}
 
 
 @pytest.mark.parametrize(
-    "data, said",
+    "data, expected_error",
     [
         (b"\0\0\0\1", "short batch header"),
         (struct.pack(">IIQI", 1, 80, 0, 0) + b"x", "truncated batch"),
@@ -227,24 +232,24 @@
         (batch([record("BQ", 4, 1)]), "before any instance"),
         (batch([], count=3), "do not fit"),
         (batch([record("BH", 1, 0), record("BQII", 7, 1, 0, 3)], b"{{{"), "not JSON"),
-        (begin_batch(settings=LACKING), "'contract'"),
+        (begin_batch(settings=SETTINGS_WITHOUT_CONTRACT), "'contract'"),
         (batch([record("BH", 1, 0), record("BIBIHHIBI", 8, 5, 1, 1, 1, 777, 1, 0, 0)]), "unknown result 777"),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(data, said):
+def test_malformed_input_ends_with_one_line_of_error(data, expected_error):
     done = run(data)
-    assert done.returncode != 0 and said in done.stderr.decode()
+    assert done.returncode != 0 and expected_error in done.stderr.decode()
     assert done.stderr.count(b"\n") == 1
 
 
-def test_an_exception_in_the_brain_is_reported_as_a_fault(monkeypatch):
+def test_exception_in_the_policy_is_reported_as_a_fault(monkeypatch):
     monkeypatch.setattr(DeliveryPolicy, "handle", lambda *a: 1 / 0)
     data = begin_batch()
     reply = Adapter().reply(wire.read_header(data[:20]), data[20:])
     assert reply[12 + 16] == 10 and b"ZeroDivisionError" in reply
 
 
-def test_equal_bytes_under_any_hash_seed_and_when_instances_are_split():
+def test_output_is_equal_under_any_hash_seed_and_when_instances_are_split():
     def day(instances):
         data = begin_batch(instances=instances)
         for k in range(2, 40):
@@ -280,13 +285,13 @@
     ],
 )
 def test_invalid_settings_name_the_field(field, change):
-    good = {"classes": (i.MessageClass("a", 1, 2),), "call_slots": 1, "max_open_messages": 1}
-    i.Settings(**good)
+    good = {"classes": (model.MessageClass("a", 1, 2),), "call_slots": 1, "max_open_messages": 1}
+    model.Settings(**good)
     with pytest.raises(ValueError, match=field):
-        i.Settings(**{**good, **change})
+        model.Settings(**{**good, **change})
 
 
-def test_unknown_effect_class_is_named():
+def test_unknown_idempotency_is_named():
     bad = json.loads(json.dumps(SETTINGS))
     bad["classes"][0]["idempotency"] = "sometimes"
     with pytest.raises(ValueError, match="idempotency"):
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,160 +1,169 @@
 """Where slots are short: which calls get them, and what makes a call hold its slot for longer."""
 
-from test_brain import CLASSES, Host, S, of
+from policy_driver import CLASSES, SECOND, PolicyDriver, actions_of
 
 from message_relay.model import (
     AttemptEnded,
-    EndpointListReceived,
-    EndpointState,
+    AttemptResult,
     DestinationKind,
     EndpointEntry,
     EndpointListForm,
-    MessageSubmitted,
+    EndpointListReceived,
+    EndpointState,
     MessageClass,
-    AttemptResult,
+    MessageSubmitted,
     SendAttempt,
 )
 
 
-def resets(h, kept, share):
-    """Calls of which each so-manieth is reset, the others are answered."""
-    ep = h.policy.state.endpoints[100]
+def resets(driver, reused, share):
+    """Calls of which one in `share` is reset; the others are answered."""
+    endpoint = driver.policy.state.endpoints[100]
     for n in range(2 * share):
-        ep.idle_since_us = [h.now - S // 10] if kept else []
+        endpoint.idle_since_us = [driver.now - SECOND // 10] if reused else []
         (
-            ep.circuit.open,
-            ep.circuit.slow_start_since_us,
-            ep.circuit.half_open_call,
-            ep.circuit.failure_rate,
-            ep.ambiguous_failure_rate,
+            endpoint.circuit.open,
+            endpoint.circuit.slow_start_since_us,
+            endpoint.circuit.half_open_call,
+            endpoint.circuit.failure_rate,
+            endpoint.ambiguous_failure_rate,
         ) = False, -1, None, 0.0, 0.0
-        h.arrive(cls=2)
+        driver.submit(message_class=2)
         ok = n % share > 0
-        h.do(
+        driver.run_turn(
             AttemptEnded(
-                h.next,
+                driver.last_message,
                 0,
                 100,
                 AttemptResult.OK if ok else AttemptResult.RESET,
                 100_000,
                 ok,
-                new_connection=not kept,
+                new_connection=not reused,
             ),
             after=100_000,
         )
-        h.idle(1)
+        driver.advance(1)
 
 
-def asks_for_new(h):
-    h.policy.state.endpoints[100].idle_since_us = [h.now - S // 10]
-    return of(SendAttempt, h.arrive(cls=2))[0].require_new_connection
+def requires_new(driver):
+    driver.policy.state.endpoints[100].idle_since_us = [driver.now - SECOND // 10]
+    return actions_of(SendAttempt, driver.submit(message_class=2))[0].require_new_connection
 
 
-def test_unsafe_messages_ask_for_new_connections_only_where_those_are_reset_less_often():
-    h = Host()
+def test_new_connections_are_required_only_where_they_are_reset_less_often():
+    driver = PolicyDriver()
     for _ in range(4):
-        resets(h, True, 6)
-    assert asks_for_new(h) and h.policy.state.statistics.idle_reuse_limit_us < 10 * S
-    h = Host()
+        resets(driver, True, 6)
+    assert requires_new(driver) and driver.policy.state.statistics.idle_reuse_limit_us < 10 * SECOND
+    driver = PolicyDriver()
     for _ in range(4):
-        resets(h, False, 6)
-        resets(h, True, 6)
-    assert not asks_for_new(h) and h.policy.state.statistics.idle_reuse_limit_us == 10 * S
+        resets(driver, False, 6)
+        resets(driver, True, 6)
+    assert not requires_new(driver) and driver.policy.state.statistics.idle_reuse_limit_us == 10 * SECOND
 
 
-def call(h, kept, result=AttemptResult.TIMEOUT):
+def call(driver, reused, result=AttemptResult.TIMEOUT):
     """One call, on a connection that had been idle for a while or on a new one."""
-    ep = h.policy.state.endpoints[100]
-    ep.idle_since_us = [h.now - (4 * S if result is AttemptResult.TIMEOUT else S // 10)] if kept else []
+    endpoint = driver.policy.state.endpoints[100]
+    endpoint.idle_since_us = (
+        [driver.now - (4 * SECOND if result is AttemptResult.TIMEOUT else SECOND // 10)] if reused else []
+    )
     (
-        ep.circuit.open,
-        ep.circuit.slow_start_since_us,
-        ep.circuit.half_open_call,
-        ep.circuit.failure_rate,
-        ep.ambiguous_failure_rate,
+        endpoint.circuit.open,
+        endpoint.circuit.slow_start_since_us,
+        endpoint.circuit.half_open_call,
+        endpoint.circuit.failure_rate,
+        endpoint.ambiguous_failure_rate,
     ) = False, -1, None, 0.0, 0.0
-    sent = of(SendAttempt, h.arrive(cls=2))
-    h.do(
-        AttemptEnded(h.next, 0, 100, result, 100_000, result is AttemptResult.OK, new_connection=not kept),
+    sent = actions_of(SendAttempt, driver.submit(message_class=2))
+    driver.run_turn(
+        AttemptEnded(
+            driver.last_message,
+            0,
+            100,
+            result,
+            100_000,
+            result is AttemptResult.OK,
+            new_connection=not reused,
+        ),
         after=100_000,
     )
-    h.idle(1)
+    driver.advance(1)
     return sent
 
 
-def test_calls_that_go_unanswered_on_new_connections_too_do_not_shorten_how_long_one_is_kept():
-    h = Host()
+def test_unanswered_calls_on_new_connections_too_do_not_shorten_idle_reuse():
+    driver = PolicyDriver()
     for _ in range(40):
-        for kept in (True, False):
-            assert call(h, kept)
+        for reused in (True, False):
+            assert call(driver, reused)
             for _ in range(4):
-                call(h, kept, AttemptResult.OK)
-    assert h.policy.state.statistics.idle_reuse_limit_us == 10 * S
+                call(driver, reused, AttemptResult.OK)
+    assert driver.policy.state.statistics.idle_reuse_limit_us == 10 * SECOND
 
 
-def test_calls_that_go_unanswered_on_kept_connections_alone_do():
-    h = Host()
+def test_unanswered_calls_on_reused_connections_alone_shorten_idle_reuse():
+    driver = PolicyDriver()
     for _ in range(6):
-        call(h, True)
-        call(h, False, AttemptResult.OK)
-    assert h.policy.state.statistics.idle_reuse_limit_us < 4 * S
+        call(driver, True)
+        call(driver, False, AttemptResult.OK)
+    assert driver.policy.state.statistics.idle_reuse_limit_us < 4 * SECOND
 
 
-def first(batch, messages):
-    """A slot comes free for a dear message for 2, and some for 1 that take `batch` in one call: which go?"""
+def first_sent(batch, messages):
+    """What a free slot goes to: an urgent message for 2, or messages for 1 in batches of `batch`."""
     classes = (
         *CLASSES,
-        MessageClass("dear", latency_objective_us=S, deadline_us=10 * S, priority_weight=20.0),
+        MessageClass("urgent", latency_objective_us=SECOND, deadline_us=10 * SECOND, priority_weight=20.0),
     )
-    h = Host(
+    driver = PolicyDriver(
         call_slots=1,
         classes=classes,
-        kinds=(DestinationKind("bundles", max_batch_size=batch), DestinationKind("single")),
+        kinds=(DestinationKind("batches", max_batch_size=batch), DestinationKind("single")),
     )
-    h.do(
+    driver.run_turn(
         EndpointListReceived(
             EndpointListForm.COMPLETE,
             tuple(EndpointEntry(100 * n, n, EndpointState.READY, kind=int(n > 1)) for n in (1, 2, 3)),
         )
     )
-    h.arrive(dest=3)
-    h.do(
-        MessageSubmitted(50, 3, 2, h.now + 10 * S),
-        *(MessageSubmitted(60 + n, 0, 1, h.now + 10 * S) for n in range(messages)),
+    driver.submit(destination=3)
+    driver.run_turn(
+        MessageSubmitted(50, 3, 2, driver.now + 10 * SECOND),
+        *(MessageSubmitted(60 + n, 0, 1, driver.now + 10 * SECOND) for n in range(messages)),
     )
-    acts = h.do(AttemptEnded(1, 0, 300, AttemptResult.OK, 100_000, True), after=100_000)
-    return [a.message for a in of(SendAttempt, acts)]
+    actions = driver.run_turn(AttemptEnded(1, 0, 300, AttemptResult.OK, 100_000, True), after=100_000)
+    return [action.message for action in actions_of(SendAttempt, actions)]
 
 
-def test_a_full_bundle_is_ranked_by_all_that_travel_in_it():
-    assert first(10, 10) == list(range(60, 70))
+def test_full_batch_is_ranked_by_all_its_messages():
+    assert first_sent(10, 10) == list(range(60, 70))
 
 
-def test_one_for_one_and_against_a_bundle_that_may_grow_the_dear_message_goes_first():
-    assert first(1, 10) == first(10, 9) == [50]
+def test_high_priority_message_goes_before_single_messages_and_partial_batches():
+    assert first_sent(1, 10) == first_sent(10, 9) == [50]
 
 
-def test_a_lane_thought_dear_for_a_lost_call_gets_a_slot_again_after_a_while():
+def test_group_with_a_lost_call_gets_a_slot_again_after_a_while():
     def goes_first(pause):
-        h = Host(call_slots=1, kinds=(DestinationKind("k"),))
-        h.do(
+        driver = PolicyDriver(call_slots=1, kinds=(DestinationKind("k"),))
+        driver.run_turn(
             EndpointListReceived(
                 EndpointListForm.COMPLETE,
                 tuple(EndpointEntry(100 * n, n, EndpointState.READY) for n in (1, 2, 3)),
             )
         )
-        for dest in (1, 2):
-            h.arrive(dest=dest)
-            h.end(h.next, AttemptResult.OK, endpoint=100 * dest)
-        h.arrive(cls=2, dest=2)
-        h.end(
-            h.next, AttemptResult.TIMEOUT, latency=4 * S, endpoint=200
-        )  # one lost call; others are answered
-        busy = h.next + 1
-        h.arrive(dest=3, after=int(pause * S))
-        for dest in (2, 1):
-            h.arrive(dest=dest)
-        return of(SendAttempt, h.end(busy, AttemptResult.OK, endpoint=300))[0].endpoint
+        for destination in (1, 2):
+            driver.submit(destination=destination)
+            driver.end_attempt(driver.last_message, AttemptResult.OK, endpoint=100 * destination)
+        driver.submit(message_class=2, destination=2)
+        # One lost call; others are answered.
+        driver.end_attempt(driver.last_message, AttemptResult.TIMEOUT, latency=4 * SECOND, endpoint=200)
+        busy = driver.last_message + 1
+        driver.submit(destination=3, after=int(pause * SECOND))
+        for destination in (2, 1):
+            driver.submit(destination=destination)
+        return actions_of(SendAttempt, driver.end_attempt(busy, AttemptResult.OK, endpoint=300))[0].endpoint
 
     assert goes_first(0.1) == 100
     assert goes_first(3) == 200
--- /dev/null
+++ b/tests/test_slow_start.py
@@ -0,0 +1,136 @@
+"""The slow start after an outage."""
+
+import pytest
+from policy_driver import SECOND, PolicyDriver, actions_of, large_fleet, mid_size_fleet, serve
+
+from message_relay.model import (
+    AttemptEnded,
+    AttemptResult,
+    LoadReportReceived,
+    SendAttempt,
+)
+
+
+@pytest.mark.parametrize(
+    "failure",
+    [AttemptResult.CONNECT_FAILED, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.REJECTED],
+)
+def test_recovery_starts_slowly_and_reaches_the_full_rate(failure):
+    driver = PolicyDriver(rate=8.0, slow_start_share=0.1, slow_start_us=10 * SECOND, overload_factor=2.5)
+    serve(driver, 5, AttemptResult.OK)
+    down = serve(driver, 6, failure)
+    assert driver.policy.state.endpoints[100].circuit.open and down < 20
+    first, _, last = (
+        serve(driver, 4, AttemptResult.OK),
+        serve(driver, 8, AttemptResult.OK),
+        serve(driver, 4, AttemptResult.OK),
+    )
+    # The budget is the overload factor times the slow-start share, which grows from 0.1 to 0.46 meanwhile.
+    assert 0 < first <= 2.5 * (0.1 + 0.46) / 2 * 8 * 4 + 1
+    assert last > 1.3 * first
+
+
+def test_failing_destination_still_gets_the_slow_start_rate():
+    driver = PolicyDriver(rate=8.0, slow_start_share=0.2, overload_factor=2.5)
+    serve(driver, 5, AttemptResult.OK)
+    sent = serve(driver, 10, AttemptResult.ERROR)
+    # More than half-open attempts with backoff would send, and within the budget of a slow start.
+    assert 2 * 10 < sent <= 2.5 * 0.2 * 8 * 10 + 6
+    assert not driver.policy.state.endpoints[100].circuit.open
+
+
+def sends_answered_with(driver, result, turns):
+    """How many calls go in so many turns of 25 ms with a message each; all end with that result."""
+    actions, sent, message_ended = [], 0, result is AttemptResult.OK
+    while turns > 0 or actions_of(SendAttempt, actions):  # also the calls of the last turn get their outcome
+        sends = actions_of(SendAttempt, actions)
+        sent += len(sends)
+        ended = [
+            AttemptEnded(
+                action.message, driver.attempts_sent[action.message], 100, result, 1000, message_ended
+            )
+            for action in sends
+        ]
+        actions = driver.run_turn(*ended) + (driver.submit(after=SECOND // 40) if turns > 0 else [])
+        turns -= 1
+    return sent
+
+
+def test_slow_start_uses_the_reported_limit_where_no_rate_was_measured():
+    driver = PolicyDriver(instance_count=2, load_report_fields=("x0", "x1"), slow_start_share=0.3)
+    # Started in the middle of an outage: half-open attempts only.
+    assert 3 < sends_answered_with(driver, AttemptResult.CONNECT_FAILED, 120) < 40
+    sends_answered_with(driver, AttemptResult.OK, 120)
+    driver.run_turn(LoadReportReceived(100, (1.0, 40.0)))
+    assert driver.policy.state.endpoints[100].circuit.slow_start_since_us >= 0
+    # In two seconds, the slow-start share of twenty a second.
+    assert 10 < sends_answered_with(driver, AttemptResult.OK, 80) < 40
+
+
+def test_outage_ends_in_a_slow_start_for_all_endpoints_of_the_group():
+    driver = large_fleet(endpoints=2)
+    driver.submit()
+    for _ in range(3):
+        driver.end_attempt(1, AttemptResult.CONNECT_FAILED, latency=20_000, endpoint=100)
+        driver.advance(1)
+    one, other = (driver.policy.state.endpoints[endpoint] for endpoint in (100, 101))
+    assert one.circuit is other.circuit and one.circuit.open
+    for _ in range(20):
+        sends = actions_of(SendAttempt, driver.submit(after=100_000))
+        if sends:
+            driver.end_attempt(sends[0].message, AttemptResult.OK)
+            break
+    assert not one.circuit.open and one.circuit.slow_start_since_us >= 0
+
+
+def test_slow_start_is_shared_by_the_endpoints_in_use():
+    sent = []
+    for one_closed in (False, True):
+        driver = mid_size_fleet(endpoints=2, call_slots=8)
+        driver.run_turn(
+            LoadReportReceived(100, (0.9, 40.0 * 4))
+        )  # its part is 4 a second, limited no further
+        for n in (100, 101):
+            circuit = driver.policy.state.endpoints[n].circuit
+            (
+                circuit.warm_rate_per_s,
+                circuit.slow_start_since_us,
+                circuit.bucket.updated_at_us,
+                circuit.bucket.tokens,
+            ) = (
+                4.0,
+                driver.now,
+                driver.now,
+                0.0,
+            )
+        if one_closed:  # nothing goes there: it cannot use its share of the slow start
+            circuit.open, circuit.slow_start_since_us, circuit.half_open_at_us = (
+                True,
+                -1,
+                driver.now + 60 * SECOND,
+            )
+        count, sends = 0, []
+        for _ in range(160):
+            sends += actions_of(SendAttempt, driver.submit(after=50_000))
+            while sends:
+                action, count = sends.pop(), count + 1
+                sends += actions_of(
+                    SendAttempt,
+                    driver.end_attempt(action.message, AttemptResult.OK, endpoint=action.endpoint, after=0),
+                )
+        sent.append(count)
+    assert sent[0] > 15 and sent[1] > 0.8 * sent[0]
+
+
+def test_slow_start_ends_at_the_full_rate():
+    driver = mid_size_fleet()
+    circuit = driver.policy.state.endpoints[100].circuit
+    circuit.slow_start_since_us, circuit.warm_rate_per_s = driver.now, 10.0
+    # Seconds until the full rate, of a slow start of 10 s.
+    full = (1 / (0.8 * driver.policy.state.settings.overload_factor) - 0.1) / 0.9 * 10
+    driver.submit(after=int((full - 0.5) * SECOND))
+    driver.end_attempt(driver.last_message, AttemptResult.OK, after=1)
+    assert circuit.slow_start_since_us >= 0
+    driver.submit(after=SECOND)
+    driver.end_attempt(driver.last_message, AttemptResult.OK, after=1)
+    assert circuit.slow_start_since_us < 0
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -13,78 +13,82 @@
 from loopback import Client, Fleet, bounded
 from policy_scenarios import CLASSES, SCENARIOS, play
 
-from message_relay import model as i
+from message_relay import model
 from message_relay.policy.delivery_policy import DeliveryPolicy
 from message_relay.policy_snapshot import PolicySnapshot, capture
-from message_relay.server.hot_restart import channel, new_process, old_process
 from message_relay.server import clock
 from message_relay.server.configuration import load_configuration
-from message_relay.server.retry_after import RetryAfterScope
-from message_relay.server.relay_server import RelayServer
+from message_relay.server.hot_restart import channel, new_process, old_process
 from message_relay.server.journal import AcceptedMessage, Journal
+from message_relay.server.relay_server import RelayServer
+from message_relay.server.retry_after import RetryAfterScope
 
 FIXTURES = pathlib.Path(__file__).parent / "fixtures"
 
 
-# The policy: the same actions on the same days, and the same state to hand on.
+# The policy: the same actions on the same recorded days, and the same exported state.
 
 IDEMPOTENCY = {
-    "safe": i.Idempotency.IDEMPOTENT,
-    "keyed": i.Idempotency.KEYED,
-    "unsafe": i.Idempotency.NON_IDEMPOTENT,
+    "safe": model.Idempotency.IDEMPOTENT,
+    "keyed": model.Idempotency.KEYED,
+    "unsafe": model.Idempotency.NON_IDEMPOTENT,
 }
 STATES = {
-    "ready": i.EndpointState.READY,
-    "draining": i.EndpointState.DRAINING,
-    "removed": i.EndpointState.REMOVED,
+    "ready": model.EndpointState.READY,
+    "draining": model.EndpointState.DRAINING,
+    "removed": model.EndpointState.REMOVED,
 }
 FORMS = {
-    "complete": i.EndpointListForm.COMPLETE,
-    "delta": i.EndpointListForm.DELTA,
-    "cached": i.EndpointListForm.CACHED,
-    "failed": i.EndpointListForm.FAILED,
+    "complete": model.EndpointListForm.COMPLETE,
+    "delta": model.EndpointListForm.DELTA,
+    "cached": model.EndpointListForm.CACHED,
+    "failed": model.EndpointListForm.FAILED,
 }
 
 
-def message_class(c):
-    idempotency = IDEMPOTENCY[c["idempotency"]]
-    return i.MessageClass(
-        c["name"],
-        c["objective"],
-        c["deadline"],
+def message_class(fields):
+    idempotency = IDEMPOTENCY[fields["idempotency"]]
+    return model.MessageClass(
+        fields["name"],
+        fields["objective"],
+        fields["deadline"],
         idempotency,
-        c["weight"],
-        c["late_share"],
-        i.KeyScope(c["scope"]),
-        c["window"],
-        c["ordered"],
+        fields["weight"],
+        fields["late_share"],
+        model.KeyScope(fields["scope"]),
+        fields["window"],
+        fields["ordered"],
     )
 
 
-def settings_of(s):
-    return i.Settings(
+def settings_of(scenario):
+    return model.Settings(
         classes=tuple(map(message_class, CLASSES)),
-        call_slots=s["slots"],
-        max_open_messages=s["open"],
-        kinds=tuple(i.DestinationKind(f"k{n}", apart, batch) for n, (apart, batch) in enumerate(s["kinds"])),
-        tenants=tuple(i.Tenant(f"t{n}", share, quota) for n, (share, quota) in enumerate(s["tenants"])),
-        instance_count=s["instances"],
-        max_attempts=s["max_attempts"],
+        call_slots=scenario["slots"],
+        max_open_messages=scenario["open"],
+        kinds=tuple(
+            model.DestinationKind(f"k{n}", apart, batch) for n, (apart, batch) in enumerate(scenario["kinds"])
+        ),
+        tenants=tuple(
+            model.Tenant(f"t{n}", share, quota) for n, (share, quota) in enumerate(scenario["tenants"])
+        ),
+        instance_count=scenario["instances"],
+        max_attempts=scenario["max_attempts"],
         turn_interval_us=5000,
-        max_retry_after_us=s["retry_after"],
-        clients_mark_retries=s["clients_mark_retries"],
-        slow_start_share=s["first_share"],
-        slow_start_us=s["slow_start"],
-        overload_factor=s["multiple"],
-        overload_window_us=s.get("window", 1_000_000),
-        order_key_pause_us=s["key_rest"],
-        endpoint_list_on_request=s.get("on_request", False),
-        rate_limits_advertised=s.get("rates_advertised", False),
-        load_report_fields=s.get("report", ()),
-        over_quota_weight=s.get("over_quota_weight", 1.0),
-        late_weight_halves=s.get("halves", False),
-        zone_costs=s.get("zone_costs", ()),
-        rejected_call_cost=s.get("rejected_cost", 0.0),
+        max_retry_after_us=scenario["retry_after"],
+        clients_mark_retries=scenario["clients_mark_retries"],
+        slow_start_share=scenario["first_share"],
+        slow_start_us=scenario["slow_start"],
+        overload_factor=scenario["multiple"],
+        overload_window_us=scenario.get("window", 1_000_000),
+        order_key_pause_us=scenario["key_rest"],
+        endpoint_list_on_request=scenario.get("on_request", False),
+        rate_limits_advertised=scenario.get("rates_advertised", False),
+        load_report_fields=scenario.get("report", ()),
+        over_quota_weight=scenario.get("over_quota_weight", 1.0),
+        late_weight_halves=scenario.get("halves", False),
+        zone_costs=scenario.get("zone_costs", ()),
+        rejected_call_cost=scenario.get("rejected_cost", 0.0),
     )
 
 
@@ -92,42 +96,43 @@
     match event:
         case "list", form, entries:
             listed = (
-                i.EndpointEntry(e, d, STATES[s], rate, kind, zone) for e, d, s, rate, kind, zone in entries
+                model.EndpointEntry(e, d, STATES[s], rate, kind, zone)
+                for e, d, s, rate, kind, zone in entries
             )
-            return i.EndpointListReceived(FORMS[form], tuple(listed))
+            return model.EndpointListReceived(FORMS[form], tuple(listed))
         case "message", *values:
-            return i.MessageSubmitted(*values)
+            return model.MessageSubmitted(*values)
         case "load", endpoint, values:
-            return i.LoadReportReceived(endpoint, values)
+            return model.LoadReportReceived(endpoint, values)
         case "response_started", *values:
-            return i.ResponseStarted(*values)
+            return model.ResponseStarted(*values)
         case "ended", message, attempt, endpoint, result, *values:
-            return i.AttemptEnded(message, attempt, endpoint, i.AttemptResult(result), *values)
+            return model.AttemptEnded(message, attempt, endpoint, model.AttemptResult(result), *values)
         case "cordon", endpoint, on:
-            return i.EndpointCordoned(endpoint, on)
+            return model.EndpointCordoned(endpoint, on)
         case "withdrawn", message:
-            return i.MessageWithdrawn(message)
+            return model.MessageWithdrawn(message)
         case "shutdown", until:
-            return i.ShutdownScheduled(until)
+            return model.ShutdownScheduled(until)
         case "timer", token:
-            return i.TimerFired(token)
+            return model.TimerFired(token)
     raise ValueError(event)
 
 
 def action_of(action):
     match action:
-        case i.SendAttempt():
+        case model.SendAttempt():
             timeouts = (action.timeout_us, action.new_connection_timeout_us)
             return ["send", action.message, action.endpoint, *timeouts, action.require_new_connection]
-        case i.RejectMessage():
+        case model.RejectMessage():
             return ["reject", action.message, action.retry_after_us]
-        case i.FailMessage():
+        case model.FailMessage():
             return ["fail", action.message]
-        case i.SetTimer():
+        case model.SetTimer():
             return ["timer", action.delay_us, action.token]
-        case i.CloseIdleConnections():
+        case model.CloseIdleConnections():
             return ["close_idle", action.endpoint]
-        case i.SubscribeEndpointList():
+        case model.SubscribeEndpointList():
             return ["subscribe", action.active]
     raise ValueError(action)
 
@@ -141,7 +146,7 @@
 
     def _actions(self, now, events):
         actions = self.policy.handle(now, events)
-        return [action_of(action) for action in actions if not isinstance(action, i.LogMessage)]
+        return [action_of(action) for action in actions if not isinstance(action, model.LogMessage)]
 
     def handle(self, now, events):
         return self._actions(now, [event_of(event) for event in events])
@@ -157,7 +162,7 @@
 
     def replace(self, snapshot, numbers, seed, now, events):
         self.policy = DeliveryPolicy(self.settings, seed)
-        inherited = i.StateImported(
+        inherited = model.StateImported(
             PolicySnapshot.from_wire(msgpack.unpackb(snapshot, strict_map_key=False)), numbers
         )
         return self._actions(now, [*[event_of(event) for event in events], inherited])
@@ -238,7 +243,7 @@
     return journal
 
 
-def test_a_hot_restart_takes_over_all_that_a_process_of_the_earlier_build_hands_on(tmp_path, monkeypatch):
+def test_hot_restart_takes_over_all_state_of_an_earlier_build(tmp_path, monkeypatch):
     state_frame, clients_frame, _, *ended = map(unpacked, recorded_frames())
     given = state_frame[1]
     assert [frame[0] for frame in ended] == ["ended", "ended"]
@@ -290,7 +295,7 @@
     asyncio.run(run())
 
 
-def test_a_hot_restart_hands_on_what_the_earlier_build_would(tmp_path, monkeypatch):
+def test_hot_restart_exports_the_frames_of_the_earlier_build(tmp_path, monkeypatch):
     """The state is taken from the recording and handed on again: the frames are the same to the byte."""
     state_frame, clients_frame, end_frame, *_ = recorded_frames()
 
@@ -325,6 +330,6 @@
     asyncio.run(run())
 
 
-def test_the_address_of_a_hot_restart_is_that_of_the_earlier_build():
+def test_hot_restart_address_is_that_of_the_earlier_build():
     folder = pathlib.Path("/var/lib/relay")
     assert channel.socket_path({"TMPDIR": "/run"}, folder) == pathlib.Path("/run/hopmill-043d51c331fb.sock")
--- a/tests/test_wide_lists.py
+++ b/tests/test_wide_lists.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("form", [one_line, changes, in_pieces])
-def test_a_list_of_1100_endpoints_is_followed_by_one_of_1100_instances(tmp_path, form):
+def test_list_of_1100_endpoints_is_followed_by_one_of_1100_instances(tmp_path, form):
     async def run():
         async with Fleet(tmp_path, settings()) as fleet:
             fleet.raw["groupSize"] = ENDPOINT_COUNT
