--- a/message_relay/policy/eligibility.py
+++ b/message_relay/policy/eligibility.py
@@ -28,7 +28,8 @@
     if now < group.retry_after_until_us:
         state.wake(group.retry_after_until_us)
         return False
-    if (wait_us := recovery_budget.wait_us(state, group)) and not fast_retry:
+    limited = group.recovery.since_us >= 0
+    if limited and (wait_us := recovery_budget.wait_us(state, group)) and not fast_retry:
         state.wake(now + wait_us)
         return False
     if circuit.open and not circuit_breaker.admits_half_open(state, circuit, fast_retry):
@@ -36,7 +37,7 @@
     if circuit.slow_start_since_us >= 0 and (wait_us := slow_start.wait_us(state, endpoint)):
         state.wake(now + wait_us)
         return False
-    if rate_limiter.tokens(state, group) < 1.0:
+    if group.rate_limit_per_s and rate_limiter.tokens(state, group) < 1.0:
         state.wake(max(now, group.bucket.updated_at_us) + group.bucket.wait_us(group.rate_limit_per_s))
         return False
     return True
--- a/message_relay/policy_snapshot.py
+++ b/message_relay/policy_snapshot.py
@@ -6,8 +6,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from message_relay.model import EndpointEntry, EndpointState, MessageSubmitted
 from message_relay.policy_state import (
@@ -26,8 +25,7 @@
 Values = list[Any]  # as they come from the wire
 
 
-@dataclass(frozen=True, slots=True)
-class InstanceSnapshot:
+class InstanceSnapshot(NamedTuple):
     """What concerns the whole instance: counters, quotas and call statistics."""
 
     sequence: int
@@ -234,16 +232,14 @@
     ) = values
 
 
-@dataclass(frozen=True, slots=True)
-class GroupSnapshot:
+class GroupSnapshot(NamedTuple):
     """An endpoint group: its endpoints' numbers and its values."""
 
     endpoints: list[int]
     values: Values
 
 
-@dataclass(frozen=True, slots=True)
-class DestinationSnapshot:
+class DestinationSnapshot(NamedTuple):
     """A destination and its groups."""
 
     number: int
@@ -252,8 +248,7 @@
     groups: list[GroupSnapshot]
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointSnapshot:
+class EndpointSnapshot(NamedTuple):
     """An endpoint and its circuit breaker."""
 
     id: int
@@ -263,8 +258,7 @@
     circuit: Values
 
 
-@dataclass(frozen=True, slots=True)
-class MessageSnapshot:
+class MessageSnapshot(NamedTuple):
     """A message; last_endpoint is -1 if it was never attempted."""
 
     id: int
@@ -275,8 +269,7 @@
     values: Values
 
 
-@dataclass(frozen=True, slots=True)
-class CallSnapshot:
+class CallSnapshot(NamedTuple):
     """A call in flight with its attempts, each as (message, attempt)."""
 
     endpoint: int
@@ -285,8 +278,7 @@
     attempts: list[tuple[int, int]]
 
 
-@dataclass(frozen=True, slots=True)
-class PolicySnapshot:
+class PolicySnapshot(NamedTuple):
     """All that the policy of a new process needs to go on as if it were this one."""
 
     attempts: dict[int, int]  # by message
--- a/message_relay/server/configuration.py
+++ b/message_relay/server/configuration.py
@@ -6,7 +6,6 @@
 import os
 import socket
 from collections.abc import Mapping
-from dataclasses import dataclass
 from pathlib import Path
 from typing import Any, NamedTuple
 
@@ -31,16 +30,14 @@
     port: int
 
 
-@dataclass(frozen=True, slots=True)
-class KnownEndpointList:
+class KnownEndpointList(NamedTuple):
     """The endpoint list at the time the configuration was written; targets are the entries as they came."""
 
     revision: int
     targets: list[dict[str, Any]]
 
 
-@dataclass(frozen=True)
-class RelayConfiguration:
+class RelayConfiguration(NamedTuple):
     """The configuration of one instance.
 
     max_descriptors: how many file descriptors the process may have open; disk_limit_bytes: how much the state
--- a/message_relay/server/discovery/endpoint_watch.py
+++ b/message_relay/server/discovery/endpoint_watch.py
@@ -11,8 +11,7 @@
 import json
 import logging
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from message_relay.server.configuration import Address
 from message_relay.server.discovery.backoff import CeilingLimits, ReconnectBackoff
@@ -41,8 +40,7 @@
     """A line of the watch that is not an endpoint list change."""
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointListChange:
+class EndpointListChange(NamedTuple):
     """One change of the endpoint list.
 
     revision: the list's revision after the change; complete: whether the targets are the complete list, or
--- a/message_relay/server/discovery/final_notifier.py
+++ b/message_relay/server/discovery/final_notifier.py
@@ -6,8 +6,7 @@
 import json
 import logging
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from message_relay.server.configuration import Address
 from message_relay.server.discovery.connection import DiscoveryConnection
@@ -26,8 +25,7 @@
 log = logging.getLogger(__name__)
 
 
-@dataclass(frozen=True, slots=True)
-class FinalNotice:
+class FinalNotice(NamedTuple):
     """The final status of one message.
 
     message_number: the message's number in the journal, which is not sent; retry_after_ms: when the client
--- a/message_relay/server/endpoint_calls/attempt.py
+++ b/message_relay/server/endpoint_calls/attempt.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from message_relay.model import AttemptResult
 
@@ -26,8 +26,7 @@
     ended: bool = False  # its outcome was reported
 
 
-@dataclass(frozen=True, slots=True)
-class AttemptOutcome:
+class AttemptOutcome(NamedTuple):
     """How an attempt ended."""
 
     result: AttemptResult
--- a/message_relay/server/endpoint_calls/requests.py
+++ b/message_relay/server/endpoint_calls/requests.py
@@ -5,7 +5,7 @@
 import base64
 import json
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from message_relay.server.endpoint_calls.attempt import CallAttempt
 
@@ -16,8 +16,7 @@
 MS_PER_S = 1e3
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointRequest:
+class EndpointRequest(NamedTuple):
     """The parts of an HTTP request that depend on the call."""
 
     method: str
--- a/message_relay/server/hot_restart/frames.py
+++ b/message_relay/server/hot_restart/frames.py
@@ -6,8 +6,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from message_relay.model import AttemptResult
 from message_relay.server.endpoint_calls import AttemptOutcome
@@ -26,8 +25,7 @@
 RESULTS = {name: result for result, name in RESULT_NAMES.items()}
 
 
-@dataclass(frozen=True, slots=True)
-class HandoverRequested:
+class HandoverRequested(NamedTuple):
     """The new process asks for everything."""
 
     version: int = VERSION
@@ -37,8 +35,7 @@
         return ["take", self.version]
 
 
-@dataclass(frozen=True, slots=True)
-class HandoverRejected:
+class HandoverRejected(NamedTuple):
     """The old process keeps serving."""
 
     reason: str
@@ -48,8 +45,7 @@
         return ["no", self.reason]
 
 
-@dataclass(frozen=True, slots=True)
-class StateHandedOver:
+class StateHandedOver(NamedTuple):
     """The old process's state; the listening socket comes with it."""
 
     state: ServerSnapshot
@@ -60,8 +56,7 @@
         return ["state", self.state.to_wire(), self.descriptor_count]
 
 
-@dataclass(frozen=True, slots=True)
-class ClientsHandedOver:
+class ClientsHandedOver(NamedTuple):
     """Some clients' connections: what was read from each; their descriptors come with it."""
 
     states: list[list[Any]]
@@ -71,26 +66,27 @@
         return ["clients", self.states]
 
 
-@dataclass(frozen=True, slots=True)
 class HandoverComplete:
     """Everything has been handed over."""
 
+    __slots__ = ()
+
     def encode(self) -> list[Any]:
         """The values that are sent."""
         return ["end"]
 
 
-@dataclass(frozen=True, slots=True)
 class OwnershipTaken:
     """The new process holds the lock."""
 
+    __slots__ = ()
+
     def encode(self) -> list[Any]:
         """The values that are sent."""
         return ["owned"]
 
 
-@dataclass(frozen=True, slots=True)
-class AttemptEndedReport:
+class AttemptEndedReport(NamedTuple):
     """An attempt of the old process has ended."""
 
     message_number: int
@@ -126,8 +122,7 @@
         return cls(number, attempt, endpoint, started, new, latency_us, outcome)
 
 
-@dataclass(frozen=True, slots=True)
-class RetryAfterReport:
+class RetryAfterReport(NamedTuple):
     """An endpoint of the old process gave a Retry-After."""
 
     endpoint: int
@@ -138,8 +133,7 @@
         return ["wait", self.endpoint, self.wait_us]
 
 
-@dataclass(frozen=True, slots=True)
-class LoadReport:
+class LoadReport(NamedTuple):
     """An endpoint of the old process sent a load report."""
 
     endpoint: int
@@ -150,8 +144,7 @@
         return ["load", self.endpoint, self.values]
 
 
-@dataclass(frozen=True, slots=True)
-class UnknownFrame:
+class UnknownFrame(NamedTuple):
     """A frame of a kind that this build does not know; it is ignored."""
 
     kind: Any
--- a/message_relay/server/hot_restart/snapshot.py
+++ b/message_relay/server/hot_restart/snapshot.py
@@ -5,8 +5,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from message_relay.policy_snapshot import PolicySnapshot
 from message_relay.server.endpoint_directory import Target
@@ -15,24 +14,21 @@
 VERSION = 3  # another one is rejected: the new process then starts from the journal
 
 
-@dataclass(frozen=True, slots=True)
-class RetryAfterWait:
+class RetryAfterWait(NamedTuple):
     """A Retry-After that is not over, until a time in monotonic microseconds."""
 
     scope: RetryAfterScope
     until_us: int
 
 
-@dataclass(frozen=True, slots=True)
-class CallInFlight:
+class CallInFlight(NamedTuple):
     """A call of the old process with its attempts, each as (message number, attempt)."""
 
     endpoint: int
     attempts: list[tuple[int, int]]
 
 
-@dataclass(frozen=True, slots=True)
-class ServerSnapshot:
+class ServerSnapshot(NamedTuple):
     """Everything that the new process needs to go on as if it were the old one."""
 
     policy: PolicySnapshot
@@ -72,16 +68,14 @@
         )
 
 
-@dataclass(frozen=True, slots=True)
-class HandedClient:
+class HandedClient(NamedTuple):
     """A client's connection and what was read from it (see ClientConnection.export_state)."""
 
     descriptor: int
     state: list[Any]
 
 
-@dataclass(frozen=True, slots=True)
-class HandedOver:
+class HandedOver(NamedTuple):
     """All that is handed over: the state, the listening socket and the clients' connections."""
 
     state: ServerSnapshot
--- a/message_relay/server/journal/records.py
+++ b/message_relay/server/journal/records.py
@@ -11,7 +11,7 @@
 import zlib
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgpack
 
@@ -112,8 +112,7 @@
         return message
 
 
-@dataclass(frozen=True, slots=True)
-class MessageAccepted:
+class MessageAccepted(NamedTuple):
     """The relay has accepted a message, or holds it at the time of a compaction."""
 
     message: AcceptedMessage
@@ -128,8 +127,7 @@
         return cls(AcceptedMessage.from_stored(values[1:]))
 
 
-@dataclass(frozen=True, slots=True)
-class AttemptStarted:
+class AttemptStarted(NamedTuple):
     """An attempt that carries these messages is about to be written to a connection."""
 
     numbers: Sequence[int]
@@ -147,8 +145,7 @@
         return cls(values[1], values[2], zone)
 
 
-@dataclass(frozen=True, slots=True)
-class AttemptNotApplied:
+class AttemptNotApplied(NamedTuple):
     """The message's latest attempt is known not to have been applied."""
 
     number: int
@@ -163,8 +160,7 @@
         return cls(values[1])
 
 
-@dataclass(frozen=True, slots=True)
-class MessagesCompleted:
+class MessagesCompleted(NamedTuple):
     """Nothing more is owed for these messages."""
 
     numbers: Sequence[int]
@@ -180,8 +176,7 @@
         return cls(values[1], values[2])
 
 
-@dataclass(frozen=True, slots=True)
-class FinalOwed:
+class FinalOwed(NamedTuple):
     """The message has its outcome, and the notice of it is owed."""
 
     number: int
@@ -198,8 +193,7 @@
         return cls(values[1], FinalStatus(values[2]), values[3])
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointCordonChanged:
+class EndpointCordonChanged(NamedTuple):
     """Operators have cordoned an endpoint or lifted its cordon."""
 
     uid: str
@@ -215,8 +209,7 @@
         return cls(values[1], values[2])
 
 
-@dataclass(frozen=True, slots=True)
-class JournalSummary:
+class JournalSummary(NamedTuple):
     """What a compacted file keeps of the messages that it does not hold any more."""
 
     last_number: int
--- a/message_relay/server/metrics.py
+++ b/message_relay/server/metrics.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from dataclasses import dataclass
+from typing import NamedTuple
 
 NAME_PREFIX = "app_"
 CLASS_LABEL = "tier"
@@ -14,8 +14,7 @@
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
-@dataclass(frozen=True, slots=True)
-class Gauges:
+class Gauges(NamedTuple):
     """Figures that are true at the moment of reading."""
 
     open_messages: int
--- /dev/null
+++ b/message_relay/server/process.py
@@ -0,0 +1,53 @@
+"""The process of one instance: its signals, and the parts around the server."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import os
+import signal
+from typing import Any
+
+from message_relay.server.admin_console import AdminConsole
+from message_relay.server.configuration import RelayConfiguration
+from message_relay.server.hot_restart.channel import socket_path
+from message_relay.server.hot_restart.new_process import take_over
+from message_relay.server.hot_restart.old_process import HotRestartListener
+from message_relay.server.relay_server import RelayServer
+from message_relay.server.reload import ConfigurationReloader
+
+log = logging.getLogger(__name__)
+
+
+async def serve(configuration: RelayConfiguration) -> None:
+    """Run one instance until it is told to end or another process has taken over.
+
+    OSError if it cannot start.
+    """
+    loop = asyncio.get_running_loop()
+    server = RelayServer(loop, configuration)
+    console = AdminConsole(server.operations)
+    reloader = ConfigurationReloader(loop, os.environ, server.move_discovery, server.metrics.record_reload)
+    loop.add_signal_handler(signal.SIGHUP, reloader.reload)  # unhandled it would end the process
+    loop.add_signal_handler(signal.SIGTERM, server.lifecycle.shut_down)
+    loop.add_signal_handler(signal.SIGINT, server.lifecycle.shut_down)
+    if configuration.console_address is not None:
+        await console.listen(configuration.console_address)  # before all is ready: until then health says no
+    server.prepare()
+    path = socket_path(os.environ, configuration.state_directory)
+    starting = loop.create_task(take_over(loop, server, path))
+    first: set[asyncio.Future[Any]] = {starting, server.lifecycle.closed}
+    await asyncio.wait(first, return_when=asyncio.FIRST_COMPLETED)
+    listener = HotRestartListener(loop, server.transfer, path)
+    if starting.done():
+        port, restored = starting.result(), len(server.journal.messages)
+        server.lifecycle.reports_sent = lambda: listener.reports_sent
+        listener.listen()
+        log.info("%s is ready on port %d with %d messages restored", configuration.name, port, restored)
+    else:
+        starting.cancel()
+    await server.lifecycle.closed
+    reloader.stop()
+    console.close()
+    listener.close()
+    server.close()
--- a/message_relay/server/retry_after.py
+++ b/message_relay/server/retry_after.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from message_relay.model import DestinationKind, EndpointEntry
 from message_relay.server import clock
@@ -10,8 +10,7 @@
 ANY_ENDPOINT = -1
 
 
-@dataclass(frozen=True, slots=True)
-class RetryAfterScope:
+class RetryAfterScope(NamedTuple):
     """What one Retry-After holds for: a destination, or one endpoint where these are independent."""
 
     destination: int
