--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Scripted endpoints, discovery and clients on loopback sockets, for the tests of the real courier."""
+"""Scripted endpoints, discovery and clients on loopback sockets, for the tests of the relay server."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
     return await asyncio.wait_for(awaitable, LIMIT)
 
 
-class Server:
+class ScriptedServer:
     """A TCP server on a free port; `serve` handles one connection."""
 
     def __init__(self):
@@ -123,7 +123,9 @@
 
 async def read_request(reader):
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
-    headers = {k.lower(): v.strip() for k, v in (line.split(":", 1) for line in head[1:] if line)}
+    headers = {
+        name.lower(): value.strip() for name, value in (line.split(":", 1) for line in head[1:] if line)
+    }
     body = await reader.readexactly(int(headers.get("content-length", 0)))
     method, path, _ = head[0].split()
     return method, path, headers, body
@@ -135,8 +137,8 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-class Endpoint(Server):
-    """Answers calls by a script, then 200. A step is bytes, a function of the body, 'reset' or 'hang'."""
+class Endpoint(ScriptedServer):
+    """Answers by its script, then with 200. A step: bytes, a function of the body, 'reset' or 'hang'."""
 
     def __init__(self, *script):
         super().__init__()
@@ -165,8 +167,8 @@
         return await bounded(self.calls.get())
 
 
-class Discovery(Server):
-    """The agent: a list that changes, a watch, and the notices."""
+class Discovery(ScriptedServer):
+    """Discovery: an endpoint list that changes, its watch, and the final notices."""
 
     def __init__(self):
         super().__init__()
@@ -226,7 +228,7 @@
 
 
 class Client:
-    """Hands messages in."""
+    """Submits messages to the relay."""
 
     def __init__(self):
         self.reader = self.writer = None
@@ -238,7 +240,7 @@
 
     @staticmethod
     def command(*args):
-        return b"*%d\r\n" % len(args) + b"".join(b"$%d\r\n%s\r\n" % (len(a), a) for a in args)
+        return b"*%d\r\n" % len(args) + b"".join(b"$%d\r\n%s\r\n" % (len(arg), arg) for arg in args)
 
     @classmethod
     def message(cls, ident, kind="safe", dest=7, life=6000, body=b"hello", key=""):
@@ -257,12 +259,12 @@
 
 
 class Fleet:
-    """Endpoints and discovery, with the courier either in this process or in one of its own."""
+    """Endpoints and discovery, with the relay either in this process or in one of its own."""
 
     def __init__(self, folder, raw=None, **limits):
         self.folder, self.raw = folder, raw or settings()
         self.limits = {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3, **limits}
-        self.discovery, self.endpoints, self.host, self.process = Discovery(), {}, None, None
+        self.discovery, self.endpoints, self.relay, self.process = Discovery(), {}, None, None
         self.console, self.console_port = None, 0
 
     async def __aenter__(self):
@@ -273,8 +275,8 @@
     async def __aexit__(self, *_):
         if self.console:
             self.console.close()
-        if self.host:
-            self.host.close()
+        if self.relay:
+            self.relay.close()
         if self.process and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
@@ -305,15 +307,15 @@
             "LB_CONSOLE": f"127.0.0.1:{self.console_port}" if self.console_port else "",
         }
 
-    async def inside(self):
-        """Start the courier in this process; returns a client of it."""
-        self.host = RelayServer(asyncio.get_running_loop(), load_configuration(self.env()))
-        self.console = AdminConsole(self.host.operations)
+    async def start_relay(self):
+        """Start the relay in this process; returns a client of it."""
+        self.relay = RelayServer(asyncio.get_running_loop(), load_configuration(self.env()))
+        self.console = AdminConsole(self.relay.operations)
         self.console_port = await self.console.listen(("127.0.0.1", 0))
-        return await Client().open(await self.host.start())
+        return await Client().open(await self.relay.start())
 
-    async def ask(self, call, port=0):
-        """An operator's call: the whole answer."""
+    async def run_command(self, call, port=0):
+        """Run an operator's command on the admin console; returns the whole answer."""
         reader, writer = await bounded(asyncio.open_connection("127.0.0.1", port or self.console_port))
         writer.write(call.encode() + b"\n")
         try:
@@ -321,16 +323,18 @@
         finally:
             writer.close()
 
-    async def figures(self):
-        lines = (await self.ask("counters")).splitlines()
+    async def metrics(self):
+        """The metrics on the admin console by name."""
+        lines = (await self.run_command("counters")).splitlines()
         assert lines[0] == "ACK" and lines[-1] == "--"
         return {name: int(value) for name, value in (line.rsplit(" ", 1) for line in lines[1:-1])}
 
-    def port_of_host(self):
-        return self.host.clients.listening_socket.getsockname()[1]
+    def relay_port(self):
+        """The port on which the relay in this process accepts clients."""
+        return self.relay.clients.listening_socket.getsockname()[1]
 
-    async def outside(self, files=0):
-        """Start the courier in a process of its own; returns a client of it."""
+    async def start_process(self, files=0):
+        """Start the relay in a process of its own; returns a client of it."""
         self.console_port = free_port()
 
         def limit():
@@ -348,7 +352,7 @@
         )
         while True:
             line = (await bounded(self.process.stderr.readline())).decode()
-            assert line, "the courier ended"
+            assert line, "the relay ended"
             if "is ready on port" in line:
                 self.port = int(line.split("is ready on port ")[1].split()[0])
                 return await Client().open(self.port)
@@ -358,7 +362,7 @@
         await bounded(self.process.wait())
 
 
-def courier(test):
+def with_fleet(test):
     """Runs a test with a fleet."""
 
     def run(tmp_path):
--- a/tests/test_admin_console.py
+++ b/tests/test_admin_console.py
@@ -6,7 +6,7 @@
 import sys
 
 import pytest
-from loopback import ROOT, answer, bounded, courier, settings
+from loopback import ROOT, answer, bounded, with_fleet, settings
 
 from message_relay.server import admin_console
 from message_relay.server.configuration import ConfigurationError, load_configuration
@@ -177,10 +177,10 @@
     ]
 
 
-@courier
+@with_fleet
 async def test_each_end_is_counted_once_where_it_happens(fleet):
     endpoint = await fleet.endpoint("a", answer(200), answer(500), answer(429), "hang")
-    client = await fleet.inside()
+    client = await fleet.start_relay()
     assert await client.put("m1") == "+OK"
     await endpoint.call()
     assert await client.put("m1") == "+OK"  # known: no message more
@@ -188,33 +188,33 @@
     assert (await fleet.discovery.final())["status"] == "undeliverable"
     assert await client.put("m3") == "+OK"
     assert (await fleet.discovery.final())["status"] == "deferred"
-    figures = await fleet.figures()
+    figures = await fleet.metrics()
     assert figures['app_success_total{tier="safe"}'] == 1
     assert figures['app_failure_total{tier="unsafe"}'] == 1
     assert figures['app_busy_total{tier="safe"}'] == 1
     assert (figures["app_backend_calls_total"], figures["app_inflight"]) == (3, 0)
 
 
-@courier
+@with_fleet
 async def test_a_message_rejected_at_submission_is_counted(fleet):
     fleet.raw = settings(policyLimits__maxOpen=1)
     await fleet.endpoint("a", "hang")
-    client = await fleet.inside()
+    client = await fleet.start_relay()
     assert await client.put("m1") == "+OK"
     assert (await client.put("m2", kind="unsafe")).startswith("-BUSY")
-    figures = await fleet.figures()
+    figures = await fleet.metrics()
     assert figures['app_busy_total{tier="unsafe"}'] == 1 and figures["app_inflight"] == 1
 
 
-@courier
+@with_fleet
 async def test_reloads_are_counted_one_a_signal(fleet):
-    await fleet.outside()
+    await fleet.start_process()
     path = fleet.folder / "config.json"
     text = path.read_text()
     path.write_text(json.dumps({**json.loads(text), "discovery": f"127.0.0.1:{fleet.discovery.port}"}))
 
     async def until(name, count):
-        while (figures := await fleet.figures())[name] < count:
+        while (figures := await fleet.metrics())[name] < count:
             await asyncio.sleep(0.01)
         return figures
 
@@ -225,11 +225,11 @@
     fleet.process.send_signal(1)
     await until("app_reconfig_failed_total", 1)
     await asyncio.sleep(0.4)  # tried again meanwhile: that is no further reload
-    figures = await fleet.figures()
+    figures = await fleet.metrics()
     assert (figures["app_reconfig_ok_total"], figures["app_reconfig_failed_total"]) == (1, 1)
 
 
-@courier
+@with_fleet
 async def test_a_console_that_cannot_be_bound_ends_the_start(fleet):
     env = {**fleet.env(), "LB_CONSOLE": "192.0.2.1:1"}
     process = await asyncio.create_subprocess_exec(
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from loopback import Client, bounded, courier
+from loopback import Client, bounded, with_fleet
 
 from message_relay.server.resp import connection, connection_table
 from message_relay.server.resp.reader import ProtocolError, RequestReader
@@ -44,45 +44,45 @@
 }
 
 
-@courier
+@with_fleet
 async def test_an_invalid_request_gets_its_error_and_the_connection_stays_open(fleet):
     await fleet.endpoint("a")
-    await fleet.inside()
+    await fleet.start_relay()
     for name, request in INVALID_REQUESTS.items():
-        client = await Client().open(fleet.port_of_host())
+        client = await Client().open(fleet.relay_port())
         assert (await client.send(request)).startswith("-ERR"), name
         assert await client.send(command(b"PING")) == "+PONG", name
-    assert not fleet.host.journal.messages and not fleet.host.journal.finished_ids
+    assert not fleet.relay.journal.messages and not fleet.relay.journal.finished_ids
 
 
-@courier
+@with_fleet
 async def test_a_malformed_request_is_answered_with_an_error_and_a_close(fleet):
     # A huge length is rejected before anything is kept for it, without waiting for the rest.
     await fleet.endpoint("a")
-    await fleet.inside()
+    await fleet.start_relay()
     for name, request in MALFORMED_REQUESTS.items():
-        client = await Client().open(fleet.port_of_host())
+        client = await Client().open(fleet.relay_port())
         assert (await client.send(request)).startswith("-ERR"), name
         with contextlib.suppress(ConnectionResetError):  # a close with bytes unread
             assert await bounded(client.reader.read()) == b"", name
 
 
-@courier
+@with_fleet
 async def test_a_destination_whose_endpoints_are_gone_for_now_is_no_error(fleet):
     await fleet.endpoint("a")
-    client = await fleet.inside()
+    client = await fleet.start_relay()
     await bounded(fleet.discovery.watches.get())
     fleet.discovery.change("a", state="terminated")
-    while fleet.host.directory.entries:
+    while fleet.relay.directory.entries:
         await asyncio.sleep(0.01)
     assert await client.put("m1") == "+OK"
     assert (await client.put("m2", dest=8)).startswith("-ERR")
 
 
-@courier
+@with_fleet
 async def test_byte_by_byte_and_several_at_once_in_order(fleet):
     await fleet.endpoint("a")
-    client = await fleet.inside()
+    client = await fleet.start_relay()
     for byte in client.message("p1") + command(b"NOPE") + client.message("p2") + command(b"PING"):
         client.writer.write(bytes([byte]))
         await asyncio.sleep(0)
@@ -90,10 +90,10 @@
     assert got[0] == got[2] == "+OK" and got[1].startswith("-ERR") and got[3] == "+PONG"
 
 
-@courier
+@with_fleet
 async def test_a_client_that_repeats_invalid_requests_is_slowed_and_closed(fleet):
     await fleet.endpoint("a")
-    client = await fleet.inside()
+    client = await fleet.start_relay()
     began = time.monotonic()
     client.writer.write(command(b"NOPE") * connection.MAX_INVALID_REQUESTS + command(b"PING"))
     got = (await bounded(client.reader.read())).split(b"\r\n")
@@ -103,22 +103,22 @@
     assert time.monotonic() - began >= connection.INVALID_REQUEST_PAUSE_S
 
 
-@courier
+@with_fleet
 async def test_hundreds_of_requests_at_once_end_the_connection(fleet):
     await fleet.endpoint("a")
-    client = await fleet.inside()
+    client = await fleet.start_relay()
     client.writer.write(command(b"PING") * 500)
     lines = (await bounded(client.reader.read())).split(b"\r\n")
     assert lines[-2].startswith(b"-ERR") and len(lines) <= connection.MAX_PIPELINED_REQUESTS + 2
 
 
-@courier
+@with_fleet
 async def test_a_request_that_is_not_complete_in_time_gets_an_error_or_a_close(fleet):
     await fleet.endpoint("a")
-    silent = await fleet.inside()
-    half = await Client().open(fleet.port_of_host())
+    silent = await fleet.start_relay()
+    half = await Client().open(fleet.relay_port())
     half.writer.write(command(b"PING")[:9])
-    later = await Client().open(fleet.port_of_host())
+    later = await Client().open(fleet.relay_port())
     assert await later.put("m1") == "+OK"
     later.writer.write(later.message("m2")[:60])
     began = time.monotonic()
@@ -129,12 +129,12 @@
     assert time.monotonic() - began < connection.REQUEST_TIMEOUT_S + 1
 
 
-@courier
+@with_fleet
 async def test_hundreds_of_silent_connections_do_not_keep_the_usual_clients_out(fleet):
     # They had used up all descriptors: the whole backlog was accepted before any was closed.
     fleet.limits["sockets"] = 64
     await fleet.endpoint("a")
-    await fleet.outside(files=64)
+    await fleet.start_process(files=64)
     crowd = []
     for _ in range(300):
         sock = socket.socket()
@@ -149,11 +149,11 @@
         sock.close()
 
 
-@courier
+@with_fleet
 async def test_accepting_survives_running_out_of_descriptors(fleet):
     # The configured limit is wrong: only EMFILE says so, and connections without a valid request are closed.
     await fleet.endpoint("a")
-    await fleet.outside(files=40)
+    await fleet.start_process(files=40)
     crowd = [await Client().open(fleet.port) for _ in range(60)]
     new_client = await Client().open(fleet.port)
     assert await new_client.send(command(b"PING")) == "+PONG"
@@ -171,34 +171,36 @@
     assert not reader.arguments
 
 
-@courier
+@with_fleet
 async def test_a_new_connection_is_not_closed_to_make_room(fleet):
     # Where each client asks once and keeps its connection, those that had just come were closed as never of
     # use before the idle ones, with their first request on its way.
     fleet.limits["sockets"] = 40
     await fleet.endpoint("a")
-    await fleet.inside()
-    max_connections = fleet.host.clients.table.max_connections
-    idle_clients = [await Client().open(fleet.port_of_host()) for _ in range(max_connections - 1)]
+    await fleet.start_relay()
+    max_connections = fleet.relay.clients.table.max_connections
+    idle_clients = [await Client().open(fleet.relay_port()) for _ in range(max_connections - 1)]
     for n, client in enumerate(idle_clients):
         assert await client.put(f"m{n}") == "+OK"
-    new_clients = [await Client().open(fleet.port_of_host()) for _ in range(max_connections // 2)]
+    new_clients = [await Client().open(fleet.relay_port()) for _ in range(max_connections // 2)]
     await asyncio.sleep(0)
     for n, client in enumerate(new_clients):
         assert await client.put(f"f{n}") == "+OK"
 
 
-@courier
+@with_fleet
 async def test_only_a_share_of_the_idle_connections_is_kept(fleet):
     # Each held its place for 3 s: at a hundred new ones a second there was none left for those that came.
     fleet.limits["sockets"] = 80
     await fleet.endpoint("a")
-    await fleet.inside()
-    max_connections = fleet.host.clients.table.max_connections
+    await fleet.start_relay()
+    max_connections = fleet.relay.clients.table.max_connections
     idle_clients = []
     for n in range(max_connections):
-        idle_clients.append(await Client().open(fleet.port_of_host()))
+        idle_clients.append(await Client().open(fleet.relay_port()))
         assert await idle_clients[-1].put(f"m{n}") == "+OK"
-    assert len(fleet.host.clients.connections) <= max_connections * connection_table.IDLE_CONNECTION_SHARE + 1
+    assert (
+        len(fleet.relay.clients.connections) <= max_connections * connection_table.IDLE_CONNECTION_SHARE + 1
+    )
     assert await idle_clients[-1].put("again") == "+OK"  # the longest idle have gone
     assert await bounded(idle_clients[0].reader.read()) == b""
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -9,7 +9,7 @@
 import socket
 
 import pytest
-from loopback import Client, bounded, courier
+from loopback import Client, bounded, with_fleet
 
 from message_relay.server.resp import connection
 
@@ -41,48 +41,48 @@
 
 async def open_idle(fleet):
     """A client that has sent a valid request and has none open, and the server's connection to it."""
-    sender = BlockingClient(fleet.port_of_host()).send(PING)
+    sender = BlockingClient(fleet.relay_port()).send(PING)
     assert await sender.line() == "+PONG"
-    return sender, list(fleet.host.clients.connections)[-1]
+    return sender, list(fleet.relay.clients.connections)[-1]
 
 
-@courier
+@with_fleet
 async def test_a_complete_request_that_is_unread_at_shutdown_is_answered(fleet):
     await fleet.endpoint("a")
-    await fleet.inside()
+    await fleet.start_relay()
     sender, _ = await open_idle(fleet)
     long_request, _ = await open_idle(fleet)
     partial_request, _ = await open_idle(fleet)
-    fleet.host.lifecycle.shut_down()
+    fleet.relay.lifecycle.shut_down()
     sender.send(Client.message("m"))
     long_request.send(Client.message("l", body=b"x" * 64_000))
     partial_request.send(Client.message("h")[:-3])
-    fleet.host.lifecycle._exit()
-    fleet.host.close()
+    fleet.relay.lifecycle._exit()
+    fleet.relay.close()
     assert [await client.line() for client in (sender, long_request, partial_request)] == ["+OK", "+OK", ""]
-    assert set(fleet.host.journal.numbers_by_id) == {"m", "l"}  # a restart goes on with them
+    assert set(fleet.relay.journal.numbers_by_id) == {"m", "l"}  # a restart goes on with them
 
 
-@courier
+@with_fleet
 async def test_the_backlog_is_accepted_before_listening_ends(fleet):
     await fleet.endpoint("a")
-    await fleet.inside()
-    fleet.host.lifecycle.shut_down()
-    late = [BlockingClient(fleet.port_of_host()).send(Client.message(f"m{n}")) for n in range(30)]
-    fleet.host.lifecycle._stop_accepting()
-    assert not fleet.host.clients.listening
+    await fleet.start_relay()
+    fleet.relay.lifecycle.shut_down()
+    late = [BlockingClient(fleet.relay_port()).send(Client.message(f"m{n}")) for n in range(30)]
+    fleet.relay.lifecycle._stop_accepting()
+    assert not fleet.relay.clients.listening
     assert [await client.line() for client in late] == ["+OK"] * 30
 
 
 @pytest.mark.parametrize("close", ["overdue", "make room", "one more idle", "quiesced"])
 def test_a_request_that_arrives_as_its_idle_connection_is_closed_is_read(tmp_path, close):
-    @courier
+    @with_fleet
     async def run(fleet):
         await fleet.endpoint("a")
-        await fleet.inside()
+        await fleet.start_relay()
         _kept, other = await open_idle(fleet)
         sender, client = await open_idle(fleet)
-        clients = fleet.host.clients
+        clients = fleet.relay.clients
         sender.send(Client.message("m"))
         if close == "overdue":
             client.close_at_s = 0.0
@@ -102,23 +102,23 @@
     run(tmp_path)
 
 
-@courier
+@with_fleet
 async def test_a_request_that_arrives_as_a_silent_new_connection_is_closed_is_read(fleet):
     await fleet.endpoint("a")
-    await fleet.inside()
+    await fleet.start_relay()
     _kept, before = await open_idle(fleet)
-    sender = BlockingClient(fleet.port_of_host())
-    while (client := list(fleet.host.clients.connections)[-1]) is before:
+    sender = BlockingClient(fleet.relay_port())
+    while (client := list(fleet.relay.clients.connections)[-1]) is before:
         await asyncio.sleep(0.01)
     sender.send(Client.message("m"))
     client.close_at_s = 0.0
-    fleet.host.clients.table.sweep(client.connected_at_s + connection.REQUEST_TIMEOUT_S)
+    fleet.relay.clients.table.sweep(client.connected_at_s + connection.REQUEST_TIMEOUT_S)
     assert await sender.line() == "+OK"
 
 
-@courier
+@with_fleet
 async def test_a_client_that_sends_byte_by_byte_is_still_closed_in_time(fleet):
-    await fleet.inside()
+    await fleet.start_relay()
     sender, client = await open_idle(fleet)
     sender.send(Client.message("m")[:20])
     while not client.reader.mid_request:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -4,7 +4,7 @@
 import socket
 import struct
 
-from loopback import Endpoint, answer, courier, read_request
+from loopback import Endpoint, answer, with_fleet, read_request
 
 
 class SlowFirstRequestEndpoint(Endpoint):
@@ -58,16 +58,16 @@
 
 
 async def all_completed(fleet):
-    while fleet.host.journal.messages:
+    while fleet.relay.journal.messages:
         await asyncio.sleep(0.01)
 
 
-@courier
+@with_fleet
 async def test_the_first_call_on_a_new_connection_has_time_to_establish_it(fleet):
     # The time-out learned on reused connections was too short for it: each call timed out, its connection was
     # closed and replaced by one that timed out, too, until the circuit of the endpoint opened.
     endpoint = await add_endpoint(fleet, SlowFirstRequestEndpoint())
-    client = await fleet.inside()
+    client = await fleet.start_relay()
     for number in range(60):
         await client.put(f"m{number}")
         await all_completed(fleet)
@@ -79,10 +79,10 @@
     assert fleet.discovery.finals.empty()
 
 
-@courier
+@with_fleet
 async def test_a_full_connection_table_is_a_failed_connection_and_no_overload(fleet):
     endpoint = await add_endpoint(fleet, LimitedConnectionsEndpoint())
-    client = await fleet.inside()
+    client = await fleet.start_relay()
     for number in range(8):
         await client.put(f"m{number}")
         await all_completed(fleet)
@@ -94,20 +94,20 @@
     assert endpoint.calls.qsize() < 44 + 12  # and the limit is learned
 
 
-@courier
+@with_fleet
 async def test_non_idempotent_messages_get_a_new_connection_where_reused_ones_are_reset(fleet):
     # One in flight on a reset connection may have been applied and cannot be attempted again.
     await add_endpoint(fleet, ResettingEndpoint())
-    client = await fleet.inside()
+    client = await fleet.start_relay()
     for number in range(6):
         await client.put(f"s{number}")
         await all_completed(fleet)
-    assert fleet.host.policy.state.statistics.reset_rates.reused > 0.08
+    assert fleet.relay.policy.state.statistics.reset_rates.reused > 0.08
     for number in range(8):
         await client.put(f"u{number}", kind="unsafe")
         await all_completed(fleet)
     assert fleet.discovery.finals.empty()
-    circuits = [state.circuit for state in fleet.host.policy.state.endpoints.values()]
+    circuits = [state.circuit for state in fleet.relay.policy.state.endpoints.values()]
     assert all(
         not circuit.open and circuit.slow_start_since_us < 0 for circuit in circuits
     )  # it responds: no outage, no slow start
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from loopback import answer, courier
+from loopback import answer, with_fleet
 
 from message_relay.policy.delivery_policy import DeliveryPolicy
 from message_relay.model import (
@@ -78,43 +78,43 @@
     assert courier.avoided_endpoints() == []
 
 
-@courier
+@with_fleet
 async def test_a_cordon_holds_across_lists_and_restarts_until_it_is_lifted(fleet):
     a, b = await fleet.endpoint("a"), await fleet.endpoint("b")
-    client = await fleet.outside()
-    assert (await fleet.ask("cordon nobody")).startswith("NAK ")
-    assert (await fleet.ask("uncordon nobody")).startswith("NAK ")
-    assert await fleet.ask("cordon a") == "ACK\n"
-    assert await fleet.ask("cordon a") == "ACK\n"
-    while (await fleet.figures())["app_hosts_down"] != 1:
+    client = await fleet.start_process()
+    assert (await fleet.run_command("cordon nobody")).startswith("NAK ")
+    assert (await fleet.run_command("uncordon nobody")).startswith("NAK ")
+    assert await fleet.run_command("cordon a") == "ACK\n"
+    assert await fleet.run_command("cordon a") == "ACK\n"
+    while (await fleet.metrics())["app_hosts_down"] != 1:
         await asyncio.sleep(0.01)
     fleet.discovery.change("a", state="terminated")
     fleet.discovery.change("a", state="in_service")
-    while (await fleet.figures())["app_hosts_listed"] != 2:
+    while (await fleet.metrics())["app_hosts_listed"] != 2:
         await asyncio.sleep(0.01)
     for n in range(10):
         assert await client.put(f"m{n}") == "+OK"
         await b.call()
     await fleet.kill()
-    client = await fleet.outside()
+    client = await fleet.start_process()
     for n in range(10, 20):
         assert await client.put(f"m{n}") == "+OK"
         await b.call()
     assert a.calls.empty()
-    assert await fleet.ask("cordon b") == "ACK\n"
-    assert await fleet.ask("uncordon a") == "ACK\n"
-    assert await fleet.ask("uncordon a") == "ACK\n"
+    assert await fleet.run_command("cordon b") == "ACK\n"
+    assert await fleet.run_command("uncordon a") == "ACK\n"
+    assert await fleet.run_command("uncordon a") == "ACK\n"
     assert await client.put("last") == "+OK"
     assert (await a.call())[1]["x-request-id"] == "last"
     # What was out when the process was killed went again, to b as well: only the last one counts here.
     assert all(b.calls.get_nowait()[1]["x-request-id"] != "last" for _ in range(b.calls.qsize()))
 
 
-@courier
+@with_fleet
 async def test_a_call_that_waits_for_its_connection_is_not_written_after_the_cordon(fleet):
     a = await fleet.endpoint("a")
-    client = await fleet.inside()
-    host = fleet.host
+    client = await fleet.start_relay()
+    host = fleet.relay
     begun = []
     start = host.calls._connected  # the cordon comes between the connection's start and its first byte
 
@@ -134,12 +134,12 @@
     assert (await a.call())[1]["x-request-id"] == "m"
 
 
-@courier
+@with_fleet
 async def test_what_cannot_be_recorded_is_not_promised(fleet):
     e = await fleet.endpoint("a", answer(200))
-    client = await fleet.inside()
-    fleet.host.journal.limit_bytes = 0
-    assert (await fleet.ask("cordon a")).startswith("NAK can't be recorded")
-    fleet.host.journal.limit_bytes = 3_000_000
+    client = await fleet.start_relay()
+    fleet.relay.journal.limit_bytes = 0
+    assert (await fleet.run_command("cordon a")).startswith("NAK can't be recorded")
+    fleet.relay.journal.limit_bytes = 3_000_000
     assert await client.put("m") == "+OK"
     await e.call()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -23,7 +23,7 @@
         async with Fleet(tmp_path, sockets=files) as fleet:
             endpoint = await fleet.endpoint("a")
             await fleet.discovery.stop()
-            active_client = await fleet.outside(files=files)
+            active_client = await fleet.start_process(files=files)
             assert await active_client.put("before") == "+OK"
             assert (await endpoint.call())[1]["x-request-id"] == "before"
             idle_connections = await open_silent_connections(fleet.port, 2 * files)
@@ -37,7 +37,7 @@
             fleet.discovery.change("a", state="terminating")
             assert await active_client.put("nowhere", life=1500) == "+OK"
             assert (await fleet.discovery.final())["id"] == "nowhere"  # its notice
-            metrics = await fleet.ask("counters")
+            metrics = await fleet.run_command("counters")
             assert metrics.startswith("ACK") and "app_hosts_listed 1\n" in metrics
             for _, writer in idle_connections:
                 writer.close()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from loopback import courier
+from loopback import with_fleet
 
 from message_relay.model import EndpointListForm
 from message_relay.server.configuration import Address
@@ -247,17 +247,17 @@
     assert changes == [EndpointListChange(6, False, [])] and watch.revision == 6
 
 
-@courier
+@with_fleet
 async def test_a_list_that_is_repeated_or_older_changes_no_endpoint_in_use(fleet):
     endpoint = await fleet.endpoint("a")
-    client = await fleet.inside()
+    client = await fleet.start_relay()
     complete = fleet.discovery.whole()
     for number, fields in enumerate((complete, complete, {**complete, "rev": 0})):
         change = EndpointListChange(fields["rev"], fields["all"], fields["targets"])
-        fleet.host.apply_list(change, EndpointListForm.COMPLETE)
+        fleet.relay.apply_list(change, EndpointListForm.COMPLETE)
         assert await client.put(f"m{number}") == "+OK"
         assert (await endpoint.call())[1]["x-request-id"] == f"m{number}"
-    assert len(fleet.host.directory.entries) == 1 and len(fleet.host.policy.state.endpoints) == 1
+    assert len(fleet.relay.directory.entries) == 1 and len(fleet.relay.policy.state.endpoints) == 1
 
 
 def without_discovery(failure):
@@ -275,21 +275,21 @@
 
 @pytest.mark.parametrize("failure", ["silent", "gone"])
 def test_an_instance_starts_and_restarts_without_discovery(tmp_path, failure):
-    @courier
+    @with_fleet
     async def run(fleet):
         endpoint = await fleet.endpoint("a", "hang")
         await without_discovery(failure)(fleet)
-        client = await fleet.inside()
+        client = await fleet.start_relay()
         assert await client.put("first") == "+OK"
         await endpoint.call()
-        fleet.host.close()  # as SIGKILL leaves it: what is open is in the journal alone
-        client = await fleet.inside()
+        fleet.relay.close()  # as SIGKILL leaves it: what is open is in the journal alone
+        client = await fleet.start_relay()
         assert await client.put("second") == "+OK"
         received = set()
         while len(received) < 2:
             received.add((await endpoint.call())[1]["x-request-id"])
         assert received == {"first", "second"}
-        assert not fleet.host._list_received.is_set()
+        assert not fleet.relay._list_received.is_set()
 
     run(tmp_path)
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -2,24 +2,24 @@
 
 import asyncio
 
-from loopback import bounded, courier
+from loopback import bounded, with_fleet
 
 from message_relay.server.resp import connection
 
 
-def kept(host):
+def kept(relay):
     """The sizes of all that is kept for something that comes and goes."""
-    state, journal, calls = host.policy.state, host.journal, host.calls
+    state, journal, calls = relay.policy.state, relay.journal, relay.calls
     return {
-        "uids": len(host.directory.numbers),
-        "names": len(host.directory.uids),
-        "entries": len(host.directory.entries),
-        "waits": len(host.retry_after),
-        "arrived": len(host.submissions.pending),
-        "arriving": len(host.submissions.pending_ids),
-        "guards": len(host.answers.deadline_timers),
-        "attempts": len(host.attempts.next_attempts),
-        "clients": len(host.clients.connections),
+        "uids": len(relay.directory.numbers),
+        "names": len(relay.directory.uids),
+        "entries": len(relay.directory.entries),
+        "waits": len(relay.retry_after),
+        "arrived": len(relay.submissions.pending),
+        "arriving": len(relay.submissions.pending_ids),
+        "guards": len(relay.answers.deadline_timers),
+        "attempts": len(relay.attempts.next_attempts),
+        "clients": len(relay.clients.connections),
         "held": len(journal.messages),
         "ids": len(journal.numbers_by_id),
         "open": journal.open_count,
@@ -33,51 +33,51 @@
         "lanes": sum(len(lane.endpoints) for d in state.destinations.values() for lane in d.groups),
         "keys": len(state.order_queues),
         "rests": len(state.order_pauses),
-        "notices": len(host.notifier.pending),
+        "notices": len(relay.notifier.pending),
         "queued": sum(len(d.queue) for d in state.destinations.values()),
     }
 
 
-@courier
+@with_fleet
 async def test_endpoints_replaced_over_and_over_leave_nothing_behind(fleet):
     # New ids at the address of one that has gone, while its calls are out: each is an endpoint of its own.
-    e = await fleet.endpoint("e0")
-    client = await fleet.inside()
-    host = fleet.host
+    endpoint = await fleet.endpoint("e0")
+    client = await fleet.start_relay()
+    relay = fleet.relay
     await bounded(fleet.discovery.watches.get())
     sizes = []
     for n in range(1, 60):
         assert await client.put(f"m{n}", kind="keyed", key=f"k{n}") == "+OK"
-        await e.call()
-        fleet.discovery.target(f"e{n}", e.port, 7)
+        await endpoint.call()
+        fleet.discovery.target(f"e{n}", endpoint.port, 7)
         fleet.discovery.change(f"e{n}", state="in_service")
         fleet.discovery.change(f"e{n - 1}", state="terminated")
         del fleet.discovery.targets[f"e{n - 1}"]
-        while host.watch.revision != fleet.discovery.rev or host.journal.messages or host.calls.in_flight:
+        while relay.watch.revision != fleet.discovery.rev or relay.journal.messages or relay.calls.in_flight:
             await asyncio.sleep(0.002)
         if n in (10, 59):
             await asyncio.sleep(0.05)
-            sizes.append(kept(host))
+            sizes.append(kept(relay))
     assert sizes[0] == sizes[1] and sizes[0]["uids"] == sizes[0]["endpoints"] == 1 == sizes[0]["pools"]
 
 
-@courier
+@with_fleet
 async def test_an_endpoint_that_goes_with_its_call_out_is_forgotten_when_the_call_ends(fleet):
-    e = await fleet.endpoint("a", "hang")
-    client = await fleet.inside()
+    endpoint = await fleet.endpoint("a", "hang")
+    client = await fleet.start_relay()
     await bounded(fleet.discovery.watches.get())
     assert await client.put("u", kind="unsafe", life=900) == "+OK"
-    await e.call()
+    await endpoint.call()
     fleet.discovery.change("a", state="terminated")
     assert (await fleet.discovery.final())["id"] == "u"
     await asyncio.sleep(0.05)
-    assert kept(fleet.host)["endpoints"] == kept(fleet.host)["lanes"] == 0
+    assert kept(fleet.relay)["endpoints"] == kept(fleet.relay)["lanes"] == 0
 
 
-@courier
+@with_fleet
 async def test_a_client_that_asks_once_and_keeps_its_connection_is_let_go(fleet):
     await fleet.endpoint("a")
-    client = await fleet.inside()
+    client = await fleet.start_relay()
     assert await client.put("m1") == "+OK"
     assert await asyncio.wait_for(client.reader.read(), connection.IDLE_TIMEOUT_S + 1) == b""
-    assert not fleet.host.clients.connections
+    assert not fleet.relay.clients.connections
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,7 +12,7 @@
 import sys
 
 import pytest
-from loopback import ROOT, Client, Endpoint, answer, bounded, courier, free_port, read_request, settings
+from loopback import ROOT, Client, Endpoint, answer, bounded, with_fleet, free_port, read_request, settings
 
 from message_relay.policy.delivery_policy import DeliveryPolicy
 from message_relay.policy_snapshot import capture
@@ -169,7 +169,7 @@
     def __init__(self, fleet):
         self.fleet, self.loop = fleet, asyncio.get_running_loop()
         self.path = fleet.folder / "hand.sock"
-        self.old, self.new = fleet.host, None
+        self.old, self.new = fleet.relay, None
         self.predecessor = old_process.HotRestartListener(self.loop, self.old.transfer, self.path)
         self.old.lifecycle.reports_sent = lambda: self.predecessor.reports_sent
         self.predecessor.listen()
@@ -184,24 +184,24 @@
     async def upgrade(self):
         new = self.host()
         await bounded(new_process.take_over(self.loop, new, self.path))
-        self.fleet.host = new  # the fleet closes it
+        self.fleet.relay = new  # the fleet closes it
         return new
 
     def close(self):
         self.predecessor.close()
-        if self.fleet.host is not self.old:
+        if self.fleet.relay is not self.old:
             self.old.close()
         elif self.new:
             self.new.close()
 
 
 def paired(test):
-    @courier
+    @with_fleet
     async def run(fleet):
         kept = {}
 
         async def start():
-            kept["client"] = await fleet.inside()
+            kept["client"] = await fleet.start_relay()
             kept["pair"] = Pair(fleet)
             return kept["client"], kept["pair"]
 
@@ -223,11 +223,11 @@
 @paired
 async def test_an_upgrade_takes_clients_calls_and_cordons_along(fleet, start):
     g = await gate(fleet)
-    e = await fleet.endpoint("e", dest=8)
-    f = await fleet.endpoint("f", dest=8)
+    endpoint_e = await fleet.endpoint("e", dest=8)
+    endpoint_f = await fleet.endpoint("f", dest=8)
     client, pair = await start()
     old = pair.old
-    half = await Client().open(fleet.port_of_host())
+    half = await Client().open(fleet.relay_port())
     half.writer.write(Client.message("half", dest=8)[:25])
     assert await client.put("u", kind="unsafe") == "+OK"
     await g.call()
@@ -238,13 +238,13 @@
     assert new.unready_reason() == "" and old.unready_reason() == "handed over"
     assert await client.put("next", dest=8) == "+OK"  # on the connection that it had
     assert await half.send(Client.message("half", dest=8)[25:]) == "+OK"
-    assert {(await e.call())[1]["x-request-id"] for _ in range(2)} == {"next", "half"}
+    assert {(await endpoint_e.call())[1]["x-request-id"] for _ in range(2)} == {"next", "half"}
     assert not old.lifecycle.closed.done() and new.journal.open_count >= 1  # the old one waits for its call
     g.open.set()
     await bounded(old.lifecycle.closed)
     while new.journal.open_count:
         await asyncio.sleep(0.001)
-    assert new.metrics.delivered[2] == 1 and g.calls.empty() and f.calls.empty()
+    assert new.metrics.delivered[2] == 1 and g.calls.empty() and endpoint_f.calls.empty()
     assert fleet.discovery.finals.empty() and "f" in new.journal.cordoned
 
 
@@ -266,7 +266,7 @@
 
 @paired
 async def test_the_old_process_dying_before_it_hands_over_leaves_its_journal(fleet, start):
-    e = await fleet.endpoint("e", dest=8)
+    endpoint = await fleet.endpoint("e", dest=8)
     await gate(fleet, dest=9)
     client, pair = await start()
     assert await client.put("m", dest=9) == "+OK"
@@ -282,11 +282,11 @@
     pair.predecessor.close()
     pair.old.close()
     await bounded(starting)
-    pair.fleet.host = new
+    pair.fleet.relay = new
     assert [m.id for m in new.journal.messages.values()] == ["m"] and new.unready_reason() == ""
-    late = await Client().open(fleet.port_of_host())
+    late = await Client().open(fleet.relay_port())
     assert await late.put("late", dest=8) == "+OK"
-    await e.call()
+    await endpoint.call()
 
 
 class Stub:
@@ -311,13 +311,13 @@
         await asyncio.sleep(0.001)
     assert pair.old.unready_reason() == "" and await client.put(name, dest=8) == "+OK"
     assert (await e.call())[1]["x-request-id"] == name
-    late = await Client().open(fleet.port_of_host())
+    late = await Client().open(fleet.relay_port())
     assert await late.send(Client.command(b"PING")) == "+PONG"
 
 
 @paired
 async def test_the_new_process_dying_before_it_owns_leaves_the_old_serving(fleet, start):
-    e = await fleet.endpoint("e", dest=8)
+    endpoint = await fleet.endpoint("e", dest=8)
     g = await gate(fleet)
     client, pair = await start()
     assert await client.put("out") == "+OK"
@@ -327,12 +327,12 @@
     while pair.predecessor.channel is None:
         await asyncio.sleep(0.001)
     stub.channel.close()
-    await still_serves(fleet, pair, client, e, "a")
+    await still_serves(fleet, pair, client, endpoint, "a")
     # It asks, and is gone when the answer comes.
     stub = Stub(pair)
     stub.channel.send_values(["take", VERSION])
     stub.channel.close()
-    await still_serves(fleet, pair, client, e, "b")
+    await still_serves(fleet, pair, client, endpoint, "b")
     # It has the answer, while a call that is out ends.
     stub = Stub(pair)
     stub.channel.send_values(["take", VERSION])
@@ -342,7 +342,7 @@
     while not pair.predecessor.unsent_reports:
         await asyncio.sleep(0.001)
     stub.channel.close()
-    await still_serves(fleet, pair, client, e, "c")
+    await still_serves(fleet, pair, client, endpoint, "c")
     while pair.old.journal.open_count:
         await asyncio.sleep(0.001)
     assert pair.old.metrics.delivered[0] == 4 and g.calls.empty()
@@ -353,12 +353,12 @@
     journal = Journal(fleet.folder / "state", 3_000_000).acquire()
     journal.close()
     stub.channel.close()
-    await still_serves(fleet, pair, client, e, "d")
+    await still_serves(fleet, pair, client, endpoint, "d")
 
 
 @paired
 async def test_nothing_is_read_or_closed_while_it_is_open_who_owns(fleet, start):
-    e = await fleet.endpoint("e", dest=8)
+    endpoint = await fleet.endpoint("e", dest=8)
     client, pair = await start()
     assert await client.put("a", dest=8) == "+OK"
     pair.old.operations.quiesce()
@@ -374,7 +374,7 @@
     assert Client.message("b", dest=8) in socket.socket(fileno=os.dup(fd)).recv(1000)  # still there, and open
     assert len(pair.old.clients.connections) == 1
     stub.channel.close()
-    assert [(await e.call())[1]["x-request-id"]] == ["a"]
+    assert [(await endpoint.call())[1]["x-request-id"]] == ["a"]
 
 
 @paired
@@ -394,7 +394,7 @@
 
 @paired
 async def test_rubbish_other_versions_and_silence_change_nothing(fleet, start):
-    e = await fleet.endpoint("e", dest=8)
+    endpoint = await fleet.endpoint("e", dest=8)
     client, pair = await start()
     for n, message in enumerate(([], ["take", 99], ["take"], ["owned"], ["what", 1])):
         stub = Stub(pair)
@@ -404,17 +404,17 @@
         elif message and len(message) == 2:
             await asyncio.sleep(0.01)
         stub.channel.close()
-        await still_serves(fleet, pair, client, e, f"m{n}")
+        await still_serves(fleet, pair, client, endpoint, f"m{n}")
     stub = Stub(pair)
     stub.channel._sock.send(b"\xff" * 100)
     await bounded(stub.gone.wait())
-    await still_serves(fleet, pair, client, e, "last")
+    await still_serves(fleet, pair, client, endpoint, "last")
     stub = Stub(pair)
     while pair.predecessor.channel is None:
         await asyncio.sleep(0.001)
     pair.predecessor.timed_out()  # its time is up
     await bounded(stub.gone.wait())
-    await still_serves(fleet, pair, client, e, "after")
+    await still_serves(fleet, pair, client, endpoint, "after")
 
 
 @paired
@@ -437,7 +437,7 @@
     with pytest.raises(CommandRejectedError, match="starting"):
         new.operations.cordon("e")
     await bounded(new_process.take_over(pair.loop, new, pair.path))
-    fleet.host = new
+    fleet.relay = new
     for call in (pair.old.operations.check_health, pair.old.operations.quiesce, pair.old.operations.resume):
         with pytest.raises(CommandRejectedError, match="handed over"):
             call()
@@ -466,9 +466,9 @@
     third.close()
 
 
-@courier
+@with_fleet
 async def test_a_stale_file_and_a_long_path_do_not_matter(fleet):
-    await fleet.inside()
+    await fleet.start_relay()
     loop = asyncio.get_running_loop()
     deep = fleet.folder / ("d" * 60) / ("e" * 60)
     deep.mkdir(parents=True)
@@ -480,7 +480,7 @@
     left.close()  # the file stays, as after SIGKILL
     nobody = new_process.HotRestartRequester(loop, path, print, print)
     assert not await bounded(nobody.ask())
-    predecessor = old_process.HotRestartListener(loop, fleet.host.transfer, path)
+    predecessor = old_process.HotRestartListener(loop, fleet.relay.transfer, path)
     predecessor.listen()
     asked = new_process.HotRestartRequester(loop, path, print, print)
     assert await bounded(asked.ask())
@@ -488,7 +488,7 @@
     predecessor.close()
     assert not path.exists()
     (deep / "file").write_text("kept")
-    other = old_process.HotRestartListener(loop, fleet.host.transfer, deep / "file")
+    other = old_process.HotRestartListener(loop, fleet.relay.transfer, deep / "file")
     other.listen()  # not a socket: left alone, and no reason to end
     assert other.sock is None and (deep / "file").read_text() == "kept"
 
@@ -502,19 +502,19 @@
             raise OSError(refused, "refused")
         return real(family, *rest, **kw)
 
-    @courier
+    @with_fleet
     async def serve(fleet):
-        e = await fleet.endpoint("a")
-        client = await fleet.inside()
+        endpoint = await fleet.endpoint("a")
+        client = await fleet.start_relay()
         monkeypatch.setattr(channel.socket, "socket", refuse)
         loop = asyncio.get_running_loop()
-        predecessor = old_process.HotRestartListener(loop, fleet.host.transfer, tmp_path / "hand.sock")
+        predecessor = old_process.HotRestartListener(loop, fleet.relay.transfer, tmp_path / "hand.sock")
         predecessor.listen()
         assert predecessor.sock is None
         assert not await bounded(
             new_process.HotRestartRequester(loop, tmp_path / "hand.sock", print, print).ask()
         )
-        assert await client.put("m") == "+OK" and (await e.call())[1]["x-request-id"] == "m"
+        assert await client.put("m") == "+OK" and (await endpoint.call())[1]["x-request-id"] == "m"
         predecessor.close()
 
     with caplog.at_level("INFO"):
@@ -574,14 +574,14 @@
 async def says_yes(fleet, port):
     while True:
         with contextlib.suppress(OSError):
-            if await fleet.ask("health", port) == "ACK\n":
+            if await fleet.run_command("health", port) == "ACK\n":
                 return
         await asyncio.sleep(0.01)
 
 
-@courier
+@with_fleet
 async def test_an_upgrade_under_traffic_turns_nobody_away(fleet):
-    e = await fleet.endpoint("e")
+    endpoint = await fleet.endpoint("e")
     with socket.create_server(("127.0.0.1", 0), backlog=100) as listener:
         ports = [free_port(), free_port()]
         old = await begin(fleet, listener, ports[0])
@@ -608,7 +608,7 @@
                 await asyncio.sleep(0.01)
             stop.set()
             await bounded(running)
-            got = {(await e.call())[1]["x-request-id"] for _ in sent}
+            got = {(await endpoint.call())[1]["x-request-id"] for _ in sent}
             assert got == set(sent)
             new.send_signal(signal.SIGKILL)
             await new.wait()
@@ -621,7 +621,7 @@
                     await process.wait()
 
 
-@courier
+@with_fleet
 async def test_sigterm_ends_one_that_waits_and_owns_nothing(fleet):
     journal = Journal(fleet.folder / "state", 3_000_000).acquire()
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -630,7 +630,7 @@
         answer_ = ""
         while not answer_:
             with contextlib.suppress(OSError):
-                answer_ = await fleet.ask("health", port)
+                answer_ = await fleet.run_command("health", port)
             await asyncio.sleep(0.01)
         assert answer_ == "NAK starting\n"
         process.send_signal(signal.SIGTERM)
--- a/tests/test_short_window.py
+++ b/tests/test_key_window.py
@@ -29,7 +29,7 @@
         journal.accept(AcceptedMessage(1, "m", KEYED, 0, 7, "k", self.began + 9, False, b"x"))
         journal.record_attempt([1], self.began, self.zone)
         journal.close()
-        self.client = await self.fleet.inside()
+        self.client = await self.fleet.start_relay()
         return self
 
     async def __aexit__(self, *exc):
@@ -68,16 +68,16 @@
             fleet = restarted.fleet
             await restarted.endpoint.call()
             fleet.discovery.change("a", state="terminating")
-            b = await fleet.endpoint("b", "reset", "reset", "reset")
+            endpoint = await fleet.endpoint("b", "reset", "reset", "reset")
             fleet.discovery.change("b")
             await restarted.client.put("n", kind="keyed", key="j", life=8000)
-            *_, first = await b.call()
+            *_, first = await endpoint.call()
             fleet.discovery.change("b", state="terminating")
             assert (await fleet.discovery.final())["id"] == "n"
             now = asyncio.get_running_loop().time()
             assert now - first < WINDOW_S + 0.5  # its time is 8 s
-            while not b.calls.empty():  # those that went before the endpoint was known to drain
-                *_, at = await bounded(b.calls.get())
+            while not endpoint.calls.empty():  # those that went before the endpoint was known to drain
+                *_, at = await bounded(endpoint.calls.get())
                 assert at - first < WINDOW_S
 
     asyncio.run(run())
@@ -87,13 +87,13 @@
     async def run():
         async with Restarted(tmp_path, "all", 0.0) as restarted:
             await restarted.endpoint.call()
-            host, now = restarted.fleet.host, time.time()
-            host.journal.messages[2] = AcceptedMessage(
+            relay, now = restarted.fleet.relay, time.time()
+            relay.journal.messages[2] = AcceptedMessage(
                 2, "x", KEYED, 0, 7, "y", now + 9, False, b"x", earlier_attempt_at_s=now
             )
             monkeypatch.setattr(time, "time", lambda: now + WINDOW_S / 2)
-            assert not host.attempts._repeats_too_late(2)
+            assert not relay.attempts._repeats_too_late(2)
             monkeypatch.setattr(time, "time", lambda: now + WINDOW_S)
-            assert host.attempts._repeats_too_late(2)
+            assert relay.attempts._repeats_too_late(2)
 
     asyncio.run(run())
--- a/tests/test_malformed_responses.py
+++ b/tests/test_malformed_responses.py
@@ -4,8 +4,8 @@
 import time
 
 import pytest
-from loopback import Endpoint, answer, bounded, courier
-from test_calls import RecordingObserver
+from loopback import Endpoint, answer, bounded, with_fleet
+from test_endpoint_calls import RecordingObserver
 
 from message_relay.model import AttemptResult
 from message_relay.server.endpoint_calls import AttemptOutcome, EndpointCall
@@ -152,19 +152,19 @@
     asyncio.run(run())
 
 
-@courier
+@with_fleet
 async def test_malformed_responses_between_well_formed_ones_delay_no_message(fleet):
     # They come from any endpoint alike. Counted as its errors, each delayed the non-idempotent messages for
     # it by seconds, and a few in a row put it into slow start.
-    e = await fleet.endpoint("a", *([answer(200)] * 3 + [MALFORMED["arbitrary bytes"]] * 2))
-    client = await fleet.inside()
+    endpoint = await fleet.endpoint("a", *([answer(200)] * 3 + [MALFORMED["arbitrary bytes"]] * 2))
+    client = await fleet.start_relay()
     for n in range(3):
         await client.put(f"m{n}")
-        await e.call()
+        await endpoint.call()
     for n in range(2):
         await client.put(f"s{n}", kind="unsafe")
-        await e.call()
+        await endpoint.call()
         assert (await fleet.discovery.final())["status"] == "undeliverable"
     started_at = time.monotonic()
     await client.put("u", kind="unsafe")
-    assert (await e.call())[1]["x-request-id"] == "u" and time.monotonic() - started_at < 0.2
+    assert (await endpoint.call())[1]["x-request-id"] == "u" and time.monotonic() - started_at < 0.2
--- a/tests/test_quiesce.py
+++ b/tests/test_quiesce.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from loopback import Client, answer, bounded, courier
+from loopback import Client, answer, bounded, with_fleet
 
 from message_relay.server import lifecycle
 from message_relay.server.resp.connection import has_unread_data
@@ -10,87 +10,87 @@
 PING = Client.command(b"PING")
 
 
-@courier
+@with_fleet
 async def test_a_quiesced_courier_says_no_serves_late_comers_and_closes(fleet):
-    e = await fleet.endpoint("a", "hang", answer(200))
-    kept = await fleet.inside()
-    assert await kept.send(PING) == "+PONG" and await fleet.ask("health") == "ACK\n"
+    endpoint = await fleet.endpoint("a", "hang", answer(200))
+    kept = await fleet.start_relay()
+    assert await kept.send(PING) == "+PONG" and await fleet.run_command("health") == "ACK\n"
     assert await kept.put("before") == "+OK"
-    assert await fleet.ask("quiesce") == "ACK\n"
-    assert await fleet.ask("quiesce") == "ACK\n"
-    assert (await kept.send(PING)).startswith("-") and (await fleet.ask("health")).startswith("NAK ")
-    late = await Client().open(fleet.port_of_host())
+    assert await fleet.run_command("quiesce") == "ACK\n"
+    assert await fleet.run_command("quiesce") == "ACK\n"
+    assert (await kept.send(PING)).startswith("-") and (await fleet.run_command("health")).startswith("NAK ")
+    late = await Client().open(fleet.relay_port())
     assert await late.put("late") == "+OK" and await kept.put("later") == "+OK"
     start = asyncio.get_running_loop().time()
     for client in (kept, late):
         assert await bounded(client.reader.read()) == b""
     assert asyncio.get_running_loop().time() - start < 2
-    again = await Client().open(fleet.port_of_host())  # the listener still answers
+    again = await Client().open(fleet.relay_port())  # the listener still answers
     assert (await again.send(PING)).startswith("-")
     assert await bounded(again.reader.read()) == b""
     got = set()
     while len(got) < 3:  # the one that hangs is sent again, at a time that chance sets
-        got.add((await e.call())[1]["x-request-id"])
+        got.add((await endpoint.call())[1]["x-request-id"])
     assert got == {"before", "late", "later"}
-    assert fleet.host.clients.listening and not fleet.host.lifecycle.closed.done()
+    assert fleet.relay.clients.listening and not fleet.relay.lifecycle.closed.done()
 
 
-@courier
+@with_fleet
 async def test_resume_undoes_all(fleet):
-    e = await fleet.endpoint("a")
-    client = await fleet.inside()
-    assert await fleet.ask("resume") == "ACK\n"  # of nothing: harmless
-    assert await fleet.ask("quiesce") == "ACK\n"
+    endpoint = await fleet.endpoint("a")
+    client = await fleet.start_relay()
+    assert await fleet.run_command("resume") == "ACK\n"  # of nothing: harmless
+    assert await fleet.run_command("quiesce") == "ACK\n"
     assert await bounded(client.reader.read()) == b""
     for _ in range(2):
-        assert await fleet.ask("resume") == "ACK\n"
-    assert await fleet.ask("health") == "ACK\n"
-    client = await Client().open(fleet.port_of_host())
+        assert await fleet.run_command("resume") == "ACK\n"
+    assert await fleet.run_command("health") == "ACK\n"
+    client = await Client().open(fleet.relay_port())
     assert await client.send(PING) == "+PONG"
     await asyncio.sleep(
         lifecycle.ACCEPT_CLIENTS_S + 5 * lifecycle.CLOSE_INTERVAL_S
     )  # a timer that was left would close it now
     assert await client.put("m") == "+OK"
-    await e.call()
+    await endpoint.call()
 
 
-@courier
+@with_fleet
 async def test_a_request_that_has_come_is_read_before_its_connection_is_closed(fleet):
-    e = await fleet.endpoint("a")
-    client = await fleet.inside()
+    endpoint = await fleet.endpoint("a")
+    client = await fleet.start_relay()
     assert await client.send(PING) == "+PONG"
-    host = fleet.host
-    served = next(iter(host.clients.connections))
+    relay = fleet.relay
+    served = next(iter(relay.clients.connections))
     client.writer.write(Client.message("m"))
     while not has_unread_data(served.sock):
         pass  # the loop is not let go: the request lies unread
-    host.clients.close_idle_connections()
+    relay.clients.close_idle_connections()
     assert await client.line() == "+OK"
-    assert (await e.call())[1]["x-request-id"] == "m"
+    assert (await endpoint.call())[1]["x-request-id"] == "m"
 
 
-@courier
+@with_fleet
 async def test_a_request_in_pieces_outlasts_the_closing(fleet):
-    e = await fleet.endpoint("a")
-    client = await fleet.inside()
+    endpoint = await fleet.endpoint("a")
+    client = await fleet.start_relay()
     message = Client.message("m")
     client.writer.write(message[:20])
-    assert await fleet.ask("quiesce") == "ACK\n"
+    assert await fleet.run_command("quiesce") == "ACK\n"
     await asyncio.sleep(lifecycle.ACCEPT_CLIENTS_S + 5 * lifecycle.CLOSE_INTERVAL_S)
     assert await client.send(message[20:]) == "+OK"
     assert await bounded(client.reader.read()) == b""
-    assert (await e.call())[1]["x-request-id"] == "m"
+    assert (await endpoint.call())[1]["x-request-id"] == "m"
 
 
-@courier
+@with_fleet
 async def test_who_comes_long_after_is_handed_back(fleet):
     await fleet.endpoint("a")
-    await fleet.inside()
-    fleet.host.operations.quiesce()
-    fleet.host.lifecycle._quiesced_at_s -= lifecycle.QUIESCED_ACCEPT_S
-    client = await Client().open(fleet.port_of_host())
+    await fleet.start_relay()
+    fleet.relay.operations.quiesce()
+    fleet.relay.lifecycle._quiesced_at_s -= lifecycle.QUIESCED_ACCEPT_S
+    client = await Client().open(fleet.relay_port())
     assert (await client.put("m")).startswith("-BUSY ")
-    assert fleet.host.journal.open_count == 0
-    assert (await fleet.figures())['app_busy_total{tier="safe"}'] == 1
-    fleet.host.lifecycle.shut_down()
-    assert (await fleet.ask("resume")).startswith("NAK ")
+    assert fleet.relay.journal.open_count == 0
+    assert (await fleet.metrics())['app_busy_total{tier="safe"}'] == 1
+    fleet.relay.lifecycle.shut_down()
+    assert (await fleet.run_command("resume")).startswith("NAK ")
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -4,7 +4,7 @@
 import json
 import signal
 
-from loopback import Discovery, answer, bounded, courier
+from loopback import Discovery, answer, bounded, with_fleet
 
 from message_relay.server.configuration import Address
 
@@ -16,11 +16,11 @@
     path.write_text(json.dumps(document))
 
 
-@courier
+@with_fleet
 async def test_sighup_moves_the_watch_and_the_notices(fleet):
     # Unhandled, SIGHUP ends the process.
     endpoint = await fleet.endpoint("a", answer(200), answer(500))
-    client = await fleet.outside()
+    client = await fleet.start_process()
     assert (await bounded(fleet.discovery.watches.get())).endswith("from=1")
     new_discovery = await Discovery().start()
     new_discovery.rev, new_discovery.targets = 2, dict(fleet.discovery.targets)
@@ -42,7 +42,7 @@
     await new_discovery.stop()
 
 
-@courier
+@with_fleet
 async def test_notices_not_accepted_at_the_old_address_are_sent_to_the_new_one(fleet):
     class SilentDiscovery(Discovery):
         async def serve(self, reader, writer):
@@ -51,13 +51,13 @@
     await fleet.endpoint("a", answer(500))
     fleet.discovery = await SilentDiscovery().start()
     fleet.discovery.target("a", fleet.endpoints["a"].port, 7)
-    client = await fleet.inside()
+    client = await fleet.start_relay()
     assert await client.put("u1", kind="unsafe") == "+OK"
-    while not fleet.host.notifier.batch:
+    while not fleet.relay.notifier.batch:
         await asyncio.sleep(0.01)
     new_discovery = await Discovery().start()
     new_discovery.targets = fleet.discovery.targets
-    fleet.host.move_discovery(Address("127.0.0.1", new_discovery.port))
+    fleet.relay.move_discovery(Address("127.0.0.1", new_discovery.port))
     assert await new_discovery.final() == {"id": "u1", "status": "undeliverable"}
     await bounded(new_discovery.watches.get())
     await new_discovery.stop()
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -8,35 +8,35 @@
 import sys
 import time
 
-from loopback import ROOT, Client, answer, bounded, courier
+from loopback import ROOT, Client, answer, bounded, with_fleet
 
 
-@courier
+@with_fleet
 async def test_what_was_taken_on_outlasts_sigkill(fleet):
     # In flight when the process dies: each may have run, so only what may be repeated goes again.
-    e = await fleet.endpoint("a", "hang", "hang", "hang", dest=1)
-    f = await fleet.endpoint("b", "hang", dest=2)
-    g = await fleet.endpoint("c", "hang", dest=3)
-    fleet.discovery.target("z", e.port, 5, state="terminating")
-    client = await fleet.outside()
+    endpoint_e = await fleet.endpoint("a", "hang", "hang", "hang", dest=1)
+    endpoint_f = await fleet.endpoint("b", "hang", dest=2)
+    endpoint_g = await fleet.endpoint("c", "hang", dest=3)
+    fleet.discovery.target("z", endpoint_e.port, 5, state="terminating")
+    client = await fleet.start_process()
     await client.put("safe", dest=1)
     await client.put("unsafe", kind="unsafe", dest=2)
     await client.put("keyed", kind="keyed", key="k", dest=3)
     await client.put("held", dest=5)  # its one endpoint drains
-    for endpoint in (e, f, g):
+    for endpoint in (endpoint_e, endpoint_f, endpoint_g):
         await endpoint.call()
     await fleet.kill()
-    e.script.clear()
-    h = await fleet.endpoint("d", dest=5)
-    client = await fleet.outside()
+    endpoint_e.script.clear()
+    endpoint_h = await fleet.endpoint("d", dest=5)
+    client = await fleet.start_process()
     assert await fleet.discovery.final() == {"id": "unsafe", "status": "undeliverable"}
-    assert (await e.call())[1]["x-request-id"] == "safe"
-    assert (await g.call())[1]["idempotency-key"] == "k"
-    assert (await h.call())[1]["x-request-id"] == "held"
-    assert f.calls.empty()
+    assert (await endpoint_e.call())[1]["x-request-id"] == "safe"
+    assert (await endpoint_g.call())[1]["idempotency-key"] == "k"
+    assert (await endpoint_h.call())[1]["x-request-id"] == "held"
+    assert endpoint_f.calls.empty()
     assert await client.put("safe", dest=1) == "+OK"  # known: not run again
     await client.put("next", dest=1)
-    assert (await e.call())[1]["x-request-id"] == "next"
+    assert (await endpoint_e.call())[1]["x-request-id"] == "next"
 
 
 def zoned(fleet):
@@ -46,103 +46,103 @@
     fleet.discovery.targets["b"]["az"] = "there"
 
 
-@courier
+@with_fleet
 async def test_after_sigkill_a_repeat_stays_in_the_zone_where_it_may_have_run(fleet):
-    b = await fleet.endpoint("b", "hang")
+    endpoint_b = await fleet.endpoint("b", "hang")
     zoned(fleet)
-    client = await fleet.outside()
+    client = await fleet.start_process()
     await client.put("m", kind="keyed", key="k")
-    await b.call()
+    await endpoint_b.call()
     await fleet.kill()
-    a = await fleet.endpoint("a")
-    await fleet.outside()
-    assert (await b.call())[1]["idempotency-key"] == "k"
-    assert a.calls.empty()
+    endpoint_a = await fleet.endpoint("a")
+    await fleet.start_process()
+    assert (await endpoint_b.call())[1]["idempotency-key"] == "k"
+    assert endpoint_a.calls.empty()
 
 
-@courier
+@with_fleet
 async def test_a_key_that_comes_again_stays_in_the_zone_where_it_may_have_run(fleet):
-    b = await fleet.endpoint("b")
+    endpoint_b = await fleet.endpoint("b")
     zoned(fleet)
-    client = await fleet.inside()
+    client = await fleet.start_relay()
     await bounded(fleet.discovery.watches.get())
     await client.put("m", kind="keyed", key="k")
-    await b.call()
-    a = await fleet.endpoint("a")
+    await endpoint_b.call()
+    endpoint_a = await fleet.endpoint("a")
     fleet.discovery.change("a", az="here")
-    while len(fleet.host.directory.entries) < 2:
+    while len(fleet.relay.directory.entries) < 2:
         await asyncio.sleep(0.01)
-    fleet.host.journal.compact()  # it is kept in a compacted file too
+    fleet.relay.journal.compact()  # it is kept in a compacted file too
     await client.put("m2", kind="keyed", key="k")
-    assert (await b.call())[1]["x-request-id"] == "m2"
-    assert a.calls.empty()
+    assert (await endpoint_b.call())[1]["x-request-id"] == "m2"
+    assert endpoint_a.calls.empty()
 
 
-@courier
+@with_fleet
 async def test_what_has_ended_does_not_come_again(fleet):
-    e = await fleet.endpoint("a", answer(200), answer(429))
-    client = await fleet.outside()
+    endpoint = await fleet.endpoint("a", answer(200), answer(429))
+    client = await fleet.start_process()
     await client.put("m1", kind="unsafe")
-    await e.call()
+    await endpoint.call()
     await client.put("m2", kind="unsafe")
     assert (await fleet.discovery.final())["id"] == "m2"
     assert await client.put("m1", kind="unsafe") == "+OK"  # it is done by now, and the 204 has been read
     await client.put("m3")
     for _ in range(2):
-        await e.call()
+        await endpoint.call()
     await asyncio.sleep(0.2)
     await fleet.kill()
-    client = await fleet.outside()
+    client = await fleet.start_process()
     await client.put("m4")
-    assert (await e.call())[1]["x-request-id"] == "m4"
-    assert e.calls.empty() and fleet.discovery.finals.empty()
+    assert (await endpoint.call())[1]["x-request-id"] == "m4"
+    assert endpoint.calls.empty() and fleet.discovery.finals.empty()
 
 
-@courier
+@with_fleet
 async def test_a_final_without_its_204_is_told_again(fleet):
     await fleet.endpoint("a", answer(500))
     fleet.discovery.notice_status = [500] * 1000
-    client = await fleet.outside()
+    client = await fleet.start_process()
     await client.put("u", kind="unsafe")
     await fleet.discovery.final(500)
     await fleet.kill()
     fleet.discovery.notice_status = []
-    await fleet.outside()
+    await fleet.start_process()
     assert await fleet.discovery.final() == {"id": "u", "status": "undeliverable"}
 
 
-@courier
+@with_fleet
 async def test_an_expired_message_gets_its_notice_after_a_restart(fleet):
-    client = await fleet.outside()
+    client = await fleet.start_process()
     await client.put("m", life=300, dest=99)
     await fleet.kill()
     await asyncio.sleep(0.4)
-    await fleet.outside()
+    await fleet.start_process()
     ready = time.monotonic()
     assert (await fleet.discovery.final())["id"] == "m"
     assert time.monotonic() - ready < 1.5
 
 
-@courier
+@with_fleet
 async def test_a_torn_journal_is_cut_off_and_used(fleet):
-    client = await fleet.outside()
+    client = await fleet.start_process()
     await client.put("m1", dest=5)
     await client.put("m2", dest=5)
     await fleet.kill()
     path = fleet.folder / "state" / "messages.journal"
     os.truncate(path, path.stat().st_size - 3)
-    e = await fleet.endpoint("a", dest=5)
-    client = await fleet.outside()
-    assert (await e.call())[1]["x-request-id"] == "m1"
+    endpoint = await fleet.endpoint("a", dest=5)
+    client = await fleet.start_process()
+    assert (await endpoint.call())[1]["x-request-id"] == "m1"
     await client.put("m3", dest=5)
-    assert (await e.call())[1]["x-request-id"] == "m3"
+    assert (await endpoint.call())[1]["x-request-id"] == "m3"
 
 
-@courier
+@with_fleet
 async def test_sigterm_under_traffic(fleet):
     # New connections go on coming for a while, a call that is out is let finish, nothing answered is lost.
-    e = await fleet.endpoint("a")
-    client = await fleet.outside()
+    endpoint = await fleet.endpoint("a")
+    client = await fleet.start_process()
     start = time.monotonic()
     fleet.process.send_signal(signal.SIGTERM)
     sent = 0
@@ -155,32 +155,32 @@
     assert await bounded(client.reader.read()) == b""  # closed between requests
     await bounded(fleet.process.wait())
     assert time.monotonic() - start < 3.7 and fleet.process.returncode == 0
-    ids = {(await e.call())[1]["x-request-id"] for _ in range(e.calls.qsize())}
+    ids = {(await endpoint.call())[1]["x-request-id"] for _ in range(endpoint.calls.qsize())}
     if len(ids) < sent:  # the rest is in the journal
-        await fleet.outside()
+        await fleet.start_process()
         while len(ids) < sent:
-            ids.add((await e.call())[1]["x-request-id"])
+            ids.add((await endpoint.call())[1]["x-request-id"])
     assert ids == {f"m{n}" for n in range(sent)}
 
 
-@courier
+@with_fleet
 async def test_sigterm_with_a_hung_call_ends_in_time(fleet):
-    e = await fleet.endpoint("a", "hang")
-    client = await fleet.outside()
+    endpoint = await fleet.endpoint("a", "hang")
+    client = await fleet.start_process()
     await client.put("u", kind="unsafe")
-    await e.call()
+    await endpoint.call()
     start = time.monotonic()
     fleet.process.send_signal(signal.SIGTERM)
     await bounded(fleet.process.wait())
     assert time.monotonic() - start < 3.7 and fleet.process.returncode == 0
 
 
-@courier
+@with_fleet
 async def test_running_out_of_files_does_not_end_it(fleet):
     # More clients than descriptors: the longest unused are closed, the process and its calls go on.
-    e = await fleet.endpoint("a")
+    endpoint = await fleet.endpoint("a")
     fleet.limits["sockets"] = 40
-    await fleet.outside(files=40)
+    await fleet.start_process(files=40)
     crowd = []
     for _ in range(80):
         with contextlib.suppress(OSError):
@@ -189,7 +189,7 @@
         client.writer.close()
     late = await Client().open(fleet.port)
     assert await late.put("m") == "+OK"
-    assert (await e.call())[1]["x-request-id"] == "m"
+    assert (await endpoint.call())[1]["x-request-id"] == "m"
     assert fleet.process.returncode is None
 
 
--- a/tests/test_restored.py
+++ b/tests/test_restored.py
@@ -91,7 +91,7 @@
             fleet.raw["familyInfo"]["maxCalls"] = SLOTS
             e = await fleet.endpoint("a")
             fleet.discovery.targets["a"]["state"] = "terminating"  # so that nothing is tried before
-            client = await fleet.outside()
+            client = await fleet.start_process()
             ids = [f"m{n}" for n in range(18)]
             for n, ident in enumerate(ids):
                 kind = ("safe", "keyed", "unsafe")[n % 3]
@@ -100,7 +100,7 @@
             await bounded(fleet.process.wait())
             assert e.calls.empty()
             fleet.discovery.targets["a"]["state"] = "in_service"
-            await fleet.outside()
+            await fleet.start_process()
             assert {(await e.call())[1]["x-request-id"] for _ in ids} == set(ids)
             assert fleet.discovery.finals.empty()
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -250,7 +250,7 @@
             loop, path = asyncio.get_running_loop(), tmp_path / "restart.sock"
             earlier = EarlierProcess(path, journal_of_the_earlier_process(tmp_path / "state", time.time()))
             playing = asyncio.ensure_future(earlier.play())
-            fleet.host = new = RelayServer(loop, load_configuration(fleet.env()))
+            fleet.relay = new = RelayServer(loop, load_configuration(fleet.env()))
             new.prepare()
             await bounded(new_process.take_over(loop, new, path))
             await bounded(playing)
@@ -302,7 +302,7 @@
             loop, path = asyncio.get_running_loop(), tmp_path / "restart.sock"
             earlier = EarlierProcess(path, journal_of_the_earlier_process(tmp_path / "state", time.time()))
             playing = asyncio.ensure_future(earlier.play())
-            fleet.host = new = RelayServer(loop, load_configuration(fleet.env()))
+            fleet.relay = new = RelayServer(loop, load_configuration(fleet.env()))
             new.watch.start = lambda: None  # a later list would bring the ports of this test
             new.prepare()
             await bounded(new_process.take_over(loop, new, path))
--- a/tests/test_wide_lists.py
+++ b/tests/test_wide_lists.py
@@ -49,8 +49,8 @@
         async with Fleet(tmp_path, settings()) as fleet:
             fleet.raw["groupSize"] = ENDPOINT_COUNT
             await fleet.endpoint("a")
-            await fleet.inside()
-            host = fleet.host
+            await fleet.start_relay()
+            host = fleet.relay
             host.watch.headers_received(200, {})
             started_s = time.process_time()
             for piece in form(targets()):
@@ -80,11 +80,11 @@
     async def run():
         async with Fleet(tmp_path) as fleet:
             await fleet.endpoint("a")
-            await fleet.inside()
-            fleet.host.watch.headers_received(200, {})
-            fleet.host.watch.body_received(change_line(5, True, targets()))
+            await fleet.start_relay()
+            fleet.relay.watch.headers_received(200, {})
+            fleet.relay.watch.body_received(change_line(5, True, targets()))
             for target in targets():
-                fleet.host.operations.cordon(target["uid"])
-            assert len(fleet.host.journal.cordoned) == ENDPOINT_COUNT
+                fleet.relay.operations.cordon(target["uid"])
+            assert len(fleet.relay.journal.cordoned) == ENDPOINT_COUNT
 
     asyncio.run(run())
