--- /dev/null
+++ b/tests/hot_restart_pair.py
@@ -0,0 +1,111 @@
+"""Two servers in one process for the tests of the hot restart.
+
+The lock belongs to the open file, so it excludes the other server as it would another process.
+"""
+
+import asyncio
+import socket
+
+from loopback import Client, Endpoint, answer, bounded, with_fleet, read_request, settings
+
+from message_relay.server.hot_restart import channel, new_process, old_process
+from message_relay.server.configuration import load_configuration
+from message_relay.server.relay_server import RelayServer
+
+
+class BlockedEndpoint(Endpoint):
+    """Answers once `open` is set."""
+
+    def __init__(self):
+        super().__init__()
+        self.open = asyncio.Event()
+
+    async def serve(self, reader, writer):
+        while True:
+            _, path, headers, body = await read_request(reader)
+            self.calls.put_nowait((path, headers, body, 0.0))
+            await self.open.wait()
+            writer.write(answer(200))
+
+
+class ProcessPair:
+    """The old process, which serves, and the new one that is started beside it."""
+
+    def __init__(self, fleet):
+        self.fleet, self.loop = fleet, asyncio.get_running_loop()
+        self.path = fleet.folder / "hand.sock"
+        self.old_process, self.new_process = fleet.relay, None
+        self.listener = old_process.HotRestartListener(self.loop, self.old_process.transfer, self.path)
+        self.old_process.lifecycle.reports_sent = lambda: self.listener.reports_sent
+        self.listener.listen()
+
+    def prepare_new_process(self):
+        """Prepare the new process, up to where it would ask for the journal."""
+        self.fleet.raw = self.fleet.raw or settings()
+        self.new_process = RelayServer(self.loop, load_configuration(self.fleet.env()))
+        self.new_process.prepare()
+        return self.new_process
+
+    async def hot_restart(self):
+        new = self.prepare_new_process()
+        await bounded(new_process.take_over(self.loop, new, self.path))
+        self.fleet.relay = new  # the fleet closes it
+        return new
+
+    def close(self):
+        self.listener.close()
+        if self.fleet.relay is not self.old_process:
+            self.old_process.close()
+        elif self.new_process:
+            self.new_process.close()
+
+
+def with_process_pair(test):
+    @with_fleet
+    async def run(fleet):
+        kept = {}
+
+        async def start():
+            kept["client"] = await fleet.start_relay()
+            kept["pair"] = ProcessPair(fleet)
+            return kept["client"], kept["pair"]
+
+        try:
+            await test(fleet, start)
+        finally:
+            if "pair" in kept:
+                kept["pair"].close()
+
+    return run
+
+
+async def add_blocked_endpoint(fleet, uid="g", dest=7):
+    fleet.endpoints[uid] = await BlockedEndpoint().start()
+    fleet.discovery.target(uid, fleet.endpoints[uid].port, dest)
+    return fleet.endpoints[uid]
+
+
+class ScriptedRequester:
+    """The new process, which dies wherever a test wants it to."""
+
+    def __init__(self, pair):
+        sock = socket.socket(socket.AF_UNIX)
+        sock.connect(str(pair.path))
+        self.received_frames, self.disconnected = asyncio.Queue(), asyncio.Event()
+        self.channel = channel.Channel(pair.loop, sock, self.received, self.disconnected.set)
+
+    def received(self, frame):
+        self.received_frames.put_nowait(frame.encode())
+
+    async def wait_for_frame(self, kind):
+        while (await bounded(self.received_frames.get()))[0] != kind:
+            pass
+
+
+async def assert_still_serves(fleet, pair, client, endpoint, name):
+    while pair.old_process.events.paused or pair.listener.channel is not None:
+        await asyncio.sleep(0.001)
+    assert pair.old_process.unready_reason() == "" and await client.put(name, dest=8) == "+OK"
+    assert (await endpoint.call())[1]["x-request-id"] == name
+    late_client = await Client().open(fleet.relay_port())
+    assert await late_client.send(Client.command(b"PING")) == "+PONG"
--- /dev/null
+++ b/tests/test_hot_restart.py
@@ -0,0 +1,219 @@
+"""A hot restart, both servers in one process: what is passed on, and what each does when the other dies."""
+
+from hot_restart_pair import ScriptedRequester, add_blocked_endpoint, assert_still_serves, with_process_pair
+import asyncio
+import os
+import socket
+
+import pytest
+from loopback import Client, bounded
+
+from message_relay.server.hot_restart import new_process
+from message_relay.server.hot_restart.snapshot import VERSION
+from message_relay.server.admin_console import CommandRejectedError
+from message_relay.server.journal import Journal, JournalLockedError
+
+
+@with_process_pair
+async def test_a_hot_restart_passes_on_clients_calls_and_cordons(fleet, start):
+    blocked = await add_blocked_endpoint(fleet)
+    endpoint_e = await fleet.endpoint("e", dest=8)
+    endpoint_f = await fleet.endpoint("f", dest=8)
+    client, pair = await start()
+    old = pair.old_process
+    half = await Client().open(fleet.relay_port())
+    half.writer.write(Client.message("half", dest=8)[:25])
+    assert await client.put("u", kind="unsafe") == "+OK"
+    await blocked.call()
+    old.operations.cordon("f")
+    while not any(c.reader.mid_request for c in old.clients.connections):
+        await asyncio.sleep(0.001)
+    new = await pair.hot_restart()
+    assert new.unready_reason() == "" and old.unready_reason() == "handed over"
+    assert await client.put("next", dest=8) == "+OK"  # on the connection that it had
+    assert await half.send(Client.message("half", dest=8)[25:]) == "+OK"
+    assert {(await endpoint_e.call())[1]["x-request-id"] for _ in range(2)} == {"next", "half"}
+    assert (
+        not old.lifecycle.closed.done() and new.journal.open_count >= 1
+    )  # the old process waits for its call
+    blocked.open.set()
+    await bounded(old.lifecycle.closed)
+    while new.journal.open_count:
+        await asyncio.sleep(0.001)
+    assert new.metrics.delivered[2] == 1 and blocked.calls.empty() and endpoint_f.calls.empty()
+    assert fleet.discovery.finals.empty() and "f" in new.journal.cordoned
+
+
+@with_process_pair
+async def test_the_old_process_dying_after_the_handover_equals_a_restart(fleet, start):
+    blocked, other_blocked = await add_blocked_endpoint(fleet), await add_blocked_endpoint(fleet, "k", dest=8)
+    client, pair = await start()
+    assert await client.put("u", kind="unsafe") == "+OK"
+    assert await client.put("s", dest=8) == "+OK"
+    await blocked.call()
+    await other_blocked.call()
+    await pair.hot_restart()
+    pair.listener.channel.close()  # as its death does: no outcome comes any more
+    pair.old_process.close()
+    assert await fleet.discovery.final() == {"id": "u", "status": "undeliverable"}
+    assert (await other_blocked.call())[1]["x-request-id"] == "s"  # it may be repeated
+    assert blocked.calls.empty()
+
+
+@with_process_pair
+async def test_the_old_process_dying_before_it_hands_over_leaves_its_journal(fleet, start):
+    endpoint = await fleet.endpoint("e", dest=8)
+    await add_blocked_endpoint(fleet, dest=9)
+    client, pair = await start()
+    assert await client.put("m", dest=9) == "+OK"
+    new = pair.prepare_new_process()
+    starting = asyncio.ensure_future(new_process.take_over(pair.loop, new, pair.path))
+    pair.old_process.transfer.handover_obstacle = lambda: "not yet"
+    while not new._list_received.is_set():
+        await asyncio.sleep(0.001)
+    await asyncio.sleep(0.1)
+    assert not starting.done() and new.unready_reason() == "starting"
+    with pytest.raises(JournalLockedError):
+        new.journal.acquire()
+    pair.listener.close()
+    pair.old_process.close()
+    await bounded(starting)
+    pair.fleet.relay = new
+    assert [m.id for m in new.journal.messages.values()] == ["m"] and new.unready_reason() == ""
+    late_client = await Client().open(fleet.relay_port())
+    assert await late_client.put("late", dest=8) == "+OK"
+    await endpoint.call()
+
+
+@with_process_pair
+async def test_the_new_process_dying_before_it_owns_the_journal_leaves_the_old_serving(fleet, start):
+    endpoint = await fleet.endpoint("e", dest=8)
+    blocked = await add_blocked_endpoint(fleet)
+    client, pair = await start()
+    assert await client.put("out") == "+OK"
+    await blocked.call()
+    # It connects and sends nothing.
+    requester = ScriptedRequester(pair)
+    while pair.listener.channel is None:
+        await asyncio.sleep(0.001)
+    requester.channel.close()
+    await assert_still_serves(fleet, pair, client, endpoint, "a")
+    # It sends its request, and is gone when the response comes.
+    requester = ScriptedRequester(pair)
+    requester.channel.send_values(["take", VERSION])
+    requester.channel.close()
+    await assert_still_serves(fleet, pair, client, endpoint, "b")
+    # It has the response, while a call in flight ends.
+    requester = ScriptedRequester(pair)
+    requester.channel.send_values(["take", VERSION])
+    await requester.wait_for_frame("end")
+    assert pair.old_process.unready_reason() == "handing over"
+    blocked.open.set()
+    while not pair.listener.unsent_reports:
+        await asyncio.sleep(0.001)
+    requester.channel.close()
+    await assert_still_serves(fleet, pair, client, endpoint, "c")
+    while pair.old_process.journal.open_count:
+        await asyncio.sleep(0.001)
+    assert pair.old_process.metrics.delivered[0] == 4 and blocked.calls.empty()
+    # It holds the lock, but has not reported it.
+    requester = ScriptedRequester(pair)
+    requester.channel.send_values(["take", VERSION])
+    await requester.wait_for_frame("end")
+    journal = Journal(fleet.folder / "state", 3_000_000).acquire()
+    journal.close()
+    requester.channel.close()
+    await assert_still_serves(fleet, pair, client, endpoint, "d")
+
+
+@with_process_pair
+async def test_nothing_is_read_or_closed_while_the_owner_is_undecided(fleet, start):
+    endpoint = await fleet.endpoint("e", dest=8)
+    client, pair = await start()
+    assert await client.put("a", dest=8) == "+OK"
+    pair.old_process.operations.quiesce()
+    requester = ScriptedRequester(pair)
+    requester.channel.send_values(["take", VERSION])
+    await requester.wait_for_frame("end")
+    client.writer.write(Client.message("b", dest=8))
+    for served in pair.old_process.clients.connections:
+        served.close_at_s = 0.0
+    pair.old_process.lifecycle._close_connections()
+    pair.old_process.clients._sweep_periodically()
+    fd = requester.channel.received_descriptors[1]
+    assert Client.message("b", dest=8) in socket.socket(fileno=os.dup(fd)).recv(1000)  # still there, and open
+    assert len(pair.old_process.clients.connections) == 1
+    requester.channel.close()
+    assert [(await endpoint.call())[1]["x-request-id"]] == ["a"]
+
+
+@with_process_pair
+async def test_a_new_process_that_owns_the_journal_keeps_the_old_from_writing(fleet, start):
+    client, pair = await start()
+    requester = ScriptedRequester(pair)
+    requester.channel.send_values(["take", VERSION])
+    await requester.wait_for_frame("end")
+    journal = Journal(fleet.folder / "state", 3_000_000).acquire()
+    requester.channel.close()  # with the lock held
+    await bounded(pair.old_process.lifecycle.closed)
+    assert pair.old_process.lifecycle.handed_over and pair.old_process.unready_reason() == "handed over"
+    with pytest.raises(OSError):
+        pair.old_process.journal.record_cordon("x", True)
+    journal.close()
+
+
+@with_process_pair
+async def test_malformed_frames_other_versions_and_silence_change_nothing(fleet, start):
+    endpoint = await fleet.endpoint("e", dest=8)
+    client, pair = await start()
+    for n, message in enumerate(([], ["take", 99], ["take"], ["owned"], ["what", 1])):
+        requester = ScriptedRequester(pair)
+        requester.channel.send_values(message)
+        if message == ["take", 99]:
+            assert await bounded(requester.received_frames.get()) == ["no", "another version"]
+        elif message and len(message) == 2:
+            await asyncio.sleep(0.01)
+        requester.channel.close()
+        await assert_still_serves(fleet, pair, client, endpoint, f"m{n}")
+    requester = ScriptedRequester(pair)
+    requester.channel._sock.send(b"\xff" * 100)
+    await bounded(requester.disconnected.wait())
+    await assert_still_serves(fleet, pair, client, endpoint, "last")
+    requester = ScriptedRequester(pair)
+    while pair.listener.channel is None:
+        await asyncio.sleep(0.001)
+    pair.listener.timed_out()  # as at the end of its time limit
+    await bounded(requester.disconnected.wait())
+    await assert_still_serves(fleet, pair, client, endpoint, "after")
+
+
+@with_process_pair
+async def test_a_process_in_shutdown_hands_nothing_over(fleet, start):
+    _, pair = await start()
+    pair.old_process.lifecycle.shut_down()
+    requester = ScriptedRequester(pair)
+    requester.channel.send_values(["take", VERSION])
+    assert await bounded(requester.received_frames.get()) == ["no", "ending"]
+    requester.channel.close()
+
+
+@with_process_pair
+async def test_operators_commands_are_rejected_while_no_or_another_process_serves(fleet, start):
+    await fleet.endpoint("e")
+    _, pair = await start()
+    new = pair.prepare_new_process()
+    with pytest.raises(CommandRejectedError, match="starting"):
+        new.operations.check_health()
+    with pytest.raises(CommandRejectedError, match="starting"):
+        new.operations.cordon("e")
+    await bounded(new_process.take_over(pair.loop, new, pair.path))
+    fleet.relay = new
+    for call in (
+        pair.old_process.operations.check_health,
+        pair.old_process.operations.quiesce,
+        pair.old_process.operations.resume,
+    ):
+        with pytest.raises(CommandRejectedError, match="handed over"):
+            call()
+    new.operations.check_health()
+    new.operations.cordon("e")
--- /dev/null
+++ b/tests/test_hot_restart_processes.py
@@ -0,0 +1,240 @@
+"""A hot restart with real processes, sockets and locks: one process owns the journal at a time."""
+
+import asyncio
+import contextlib
+import errno
+import fcntl
+import json
+import os
+import signal
+import socket
+import subprocess
+import sys
+
+import pytest
+from loopback import ROOT, Client, bounded, with_fleet, free_port, settings
+
+from message_relay.server.hot_restart import channel, new_process, old_process
+from message_relay.server.journal import Journal, JournalLockedError
+
+
+def test_one_process_owns_the_journal_and_another_cannot_write_behind_it(tmp_path):
+    first = Journal(tmp_path, 1_000_000).acquire()
+    first.record_cordon("a", True)
+    second = Journal(tmp_path, 1_000_000)
+    with pytest.raises(JournalLockedError):
+        second.acquire()
+    first.close()
+    first.reacquire()  # nobody had it meanwhile
+    first.record_cordon("b", True)
+    first.close()
+    second.acquire()
+    assert list(second.cordoned) == ["a", "b"]
+    second.record_cordon("c", True)
+    second.close()
+    with pytest.raises(JournalLockedError):
+        first.reacquire()
+    third = Journal(tmp_path, 1_000_000).acquire()  # and the lock was released
+    assert list(third.cordoned) == ["a", "b", "c"]
+    third.close()
+
+
+@with_fleet
+async def test_a_stale_file_and_a_long_path_do_not_matter(fleet):
+    await fleet.start_relay()
+    loop = asyncio.get_running_loop()
+    deep = fleet.folder / ("d" * 60) / ("e" * 60)
+    deep.mkdir(parents=True)
+    path = deep / "hand.sock"
+    left = socket.socket(socket.AF_UNIX)
+    with channel.short_socket_name(path) as name:
+        assert len(name) < 100 < len(str(path))
+        left.bind(name)
+    left.close()  # the file stays, as after SIGKILL
+    requester = new_process.HotRestartRequester(loop, path, print, print)
+    assert not await bounded(requester.ask())
+    listener = old_process.HotRestartListener(loop, fleet.relay.transfer, path)
+    listener.listen()
+    second_requester = new_process.HotRestartRequester(loop, path, print, print)
+    assert await bounded(second_requester.ask())
+    second_requester.close()
+    listener.close()
+    assert not path.exists()
+    (deep / "file").write_text("kept")
+    other = old_process.HotRestartListener(loop, fleet.relay.transfer, deep / "file")
+    other.listen()  # not a socket: left alone, and no reason to end
+    assert other.sock is None and (deep / "file").read_text() == "kept"
+
+
+@pytest.mark.parametrize("refused", [errno.EPERM, errno.ENOSYS, errno.EMFILE, errno.EAFNOSUPPORT])
+def test_a_rejected_unix_socket_prevents_the_hot_restart_alone(tmp_path, monkeypatch, caplog, refused):
+    real = socket.socket
+
+    def refuse(family=-1, *rest, **kw):
+        if family == socket.AF_UNIX:
+            raise OSError(refused, "refused")
+        return real(family, *rest, **kw)
+
+    @with_fleet
+    async def serve(fleet):
+        endpoint = await fleet.endpoint("a")
+        client = await fleet.start_relay()
+        monkeypatch.setattr(channel.socket, "socket", refuse)
+        loop = asyncio.get_running_loop()
+        listener = old_process.HotRestartListener(loop, fleet.relay.transfer, tmp_path / "hand.sock")
+        listener.listen()
+        assert listener.sock is None
+        assert not await bounded(
+            new_process.HotRestartRequester(loop, tmp_path / "hand.sock", print, print).ask()
+        )
+        assert await client.put("m") == "+OK" and (await endpoint.call())[1]["x-request-id"] == "m"
+        listener.close()
+
+    with caplog.at_level("INFO"):
+        serve(tmp_path)
+    assert sum("refused" in r.getMessage() for r in caplog.records) == 2  # a line each
+
+
+@pytest.mark.parametrize("code", [errno.ENOSYS, errno.ENOLCK, errno.EOPNOTSUPP])
+def test_where_there_are_no_locks_the_journal_is_used_without(tmp_path, monkeypatch, caplog, code):
+    def refuse(fd, how):
+        raise OSError(code, "refused")
+
+    monkeypatch.setattr(fcntl, "flock", refuse)
+    journal = Journal(tmp_path, 1_000_000, 5.0)
+    journal.acquire()
+    assert journal.messages == {} and "no locks here" in caplog.text
+    journal.close()
+
+
+def test_a_lock_that_fails_otherwise_is_no_reason_to_go_on(tmp_path, monkeypatch):
+    def fail(fd, how):
+        raise OSError(errno.EIO, "broken disk")
+
+    monkeypatch.setattr(fcntl, "flock", fail)
+    with pytest.raises(OSError, match="broken disk"):
+        Journal(tmp_path, 1_000_000, 5.0).acquire()
+
+
+def test_instances_that_share_a_folder_have_sockets_of_their_own(tmp_path):
+    (tmp_path / "a").mkdir()
+    paths = {channel.socket_path({"TMPDIR": "/t"}, tmp_path / name) for name in ("a", "b")}
+    assert len(paths) == 2 and all(p.parent.name == "t" for p in paths)
+
+
+def start_process(fleet, listener, port):
+    env = {
+        **os.environ,
+        **fleet.env(),
+        "LB_FD": str(listener.fileno()),
+        "TMPDIR": str(fleet.folder),
+        "LB_CONSOLE": f"127.0.0.1:{port}",
+    }
+    return asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "message_relay",
+        env=env,
+        cwd=ROOT,
+        stderr=asyncio.subprocess.DEVNULL,
+        pass_fds=[listener.fileno()],
+    )
+
+
+async def wait_until_healthy(fleet, port):
+    while True:
+        with contextlib.suppress(OSError):
+            if await fleet.run_command("health", port) == "ACK\n":
+                return
+        await asyncio.sleep(0.01)
+
+
+@with_fleet
+async def test_a_hot_restart_under_traffic_rejects_nobody(fleet):
+    endpoint = await fleet.endpoint("e")
+    with socket.create_server(("127.0.0.1", 0), backlog=100) as listener:
+        ports = [free_port(), free_port()]
+        old = await start_process(fleet, listener, ports[0])
+        await bounded(wait_until_healthy(fleet, ports[0]))
+        new = None
+        try:
+            kept = await Client().open(listener.getsockname()[1])
+            stop, sent = asyncio.Event(), []
+
+            async def traffic():
+                while not stop.is_set():
+                    fresh = await Client().open(listener.getsockname()[1])
+                    for client in (kept, fresh):
+                        sent.append(f"m{len(sent)}")
+                        assert await client.put(sent[-1]) == "+OK"
+                    fresh.writer.close()
+
+            running = asyncio.ensure_future(traffic())
+            new = await start_process(fleet, listener, ports[1])
+            await bounded(wait_until_healthy(fleet, ports[1]))
+            assert await bounded(old.wait()) == 0  # it exits by itself, with nothing in flight
+            count = len(sent)
+            while len(sent) < count + 5:
+                await asyncio.sleep(0.01)
+            stop.set()
+            await bounded(running)
+            got = {(await endpoint.call())[1]["x-request-id"] for _ in sent}
+            assert got == set(sent)
+            new.send_signal(signal.SIGKILL)
+            await new.wait()
+            new = await start_process(
+                fleet, listener, ports[1]
+            )  # its socket file is left behind: a usual start all the same
+            await bounded(wait_until_healthy(fleet, ports[1]))
+        finally:
+            for process in (old, new):
+                if process and process.returncode is None:
+                    process.kill()
+                    await process.wait()
+
+
+@with_fleet
+async def test_sigterm_ends_a_new_process_that_waits_for_the_journal(fleet):
+    journal = Journal(fleet.folder / "state", 3_000_000).acquire()
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        port = free_port()
+        process = await start_process(fleet, listener, port)
+        health = ""
+        while not health:
+            with contextlib.suppress(OSError):
+                health = await fleet.run_command("health", port)
+            await asyncio.sleep(0.01)
+        assert health == "NAK starting\n"
+        process.send_signal(signal.SIGTERM)
+        assert await bounded(process.wait()) == 0
+    journal.close()
+
+
+@pytest.mark.parametrize("kind", ["word", "closed", "file", "not listening", "unix", "negative"])
+def test_a_bad_descriptor_ends_the_start_with_one_line(tmp_path, kind):
+    raw = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}
+    (tmp_path / "config.json").write_text(json.dumps(raw))
+    sock = socket.socket(socket.AF_UNIX if kind == "unix" else socket.AF_INET)
+    if kind == "unix":
+        sock.bind(str(tmp_path / "u.sock"))
+        sock.listen()
+    with open(tmp_path / "config.json") as file, sock:
+        fd = file.fileno() if kind == "file" else sock.fileno()
+        text = {"word": "seven", "closed": "99", "negative": "-3"}.get(kind, str(fd))
+        env = {
+            **os.environ,
+            "LB_CONFIG": str(tmp_path / "config.json"),
+            "LB_STATE": str(tmp_path),
+            "LB_FD": text,
+        }
+        done = subprocess.run(
+            [sys.executable, "-m", "message_relay"],
+            env=env,
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=20,
+            pass_fds=[fd],
+        )
+    assert done.returncode == 2 and done.stderr.startswith("message-relay: LB_FD: ")
+    assert done.stderr.count("\n") == 1
