--- a/tests/test_admin_console.py
+++ b/tests/test_admin_console.py
@@ -54,7 +54,7 @@
         (b"\xff\xfe\n", "NAK a call is plain ASCII\n", []),
     ],
 )
-def test_each_call_has_its_answer(line, answer_text, expected_calls):
+def test_each_command_has_its_answer(line, answer_text, expected_calls):
     commands = RecordingCommands()
     assert admin_console.execute_line(line, commands) == answer_text
     assert commands.calls == expected_calls
@@ -108,18 +108,18 @@
 
 
 @with_console
-async def test_a_line_too_long_and_what_follows_a_call_are_bounded(console, call, _):
+async def test_a_line_too_long_and_what_follows_a_command_are_bounded(console, call, _):
     reader, writer = await call()
     writer.write(b"x" * 100_000)
     assert (await bounded(reader.read())).startswith(b"NAK ")
     reader, writer = await call()
-    writer.write(b"health\n" + b"quiesce\n" * 1000)  # one call a connection; its answer is not lost
+    writer.write(b"health\n" + b"quiesce\n" * 1000)  # one command a connection; its answer is not lost
     assert await bounded(reader.read()) == b"ACK\n"
     assert console.commands.calls == [("check_health",)]
 
 
 @with_console
-async def test_the_first_to_come_makes_room_for_one_more(console, call, monkeypatch):
+async def test_the_oldest_connection_is_closed_for_a_new_one(console, call, monkeypatch):
     monkeypatch.setattr(admin_console, "MAX_CONNECTIONS", 3)
     waiting = [await call() for _ in range(3)]
     while len(console.connections) < 3:
@@ -128,7 +128,7 @@
     writer.write(b"health\n")
     assert await bounded(reader.read()) == b"ACK\n"
     assert await bounded(waiting[0][0].read()) == b""
-    waiting[1][1].write(b"health\n")  # only that one went
+    waiting[1][1].write(b"health\n")  # only that one was closed
     assert await bounded(waiting[1][0].read()) == b"ACK\n"
 
 
@@ -178,21 +178,21 @@
 
 
 @with_fleet
-async def test_each_end_is_counted_once_where_it_happens(fleet):
+async def test_each_outcome_is_counted_once(fleet):
     endpoint = await fleet.endpoint("a", answer(200), answer(500), answer(429), "hang")
     client = await fleet.start_relay()
     assert await client.put("m1") == "+OK"
     await endpoint.call()
-    assert await client.put("m1") == "+OK"  # known: no message more
+    assert await client.put("m1") == "+OK"  # known: not another message
     assert await client.put("m2", kind="unsafe") == "+OK"
     assert (await fleet.discovery.final())["status"] == "undeliverable"
     assert await client.put("m3") == "+OK"
     assert (await fleet.discovery.final())["status"] == "deferred"
-    figures = await fleet.metrics()
-    assert figures['app_success_total{tier="safe"}'] == 1
-    assert figures['app_failure_total{tier="unsafe"}'] == 1
-    assert figures['app_busy_total{tier="safe"}'] == 1
-    assert (figures["app_backend_calls_total"], figures["app_inflight"]) == (3, 0)
+    metrics = await fleet.metrics()
+    assert metrics['app_success_total{tier="safe"}'] == 1
+    assert metrics['app_failure_total{tier="unsafe"}'] == 1
+    assert metrics['app_busy_total{tier="safe"}'] == 1
+    assert (metrics["app_backend_calls_total"], metrics["app_inflight"]) == (3, 0)
 
 
 @with_fleet
@@ -202,8 +202,8 @@
     client = await fleet.start_relay()
     assert await client.put("m1") == "+OK"
     assert (await client.put("m2", kind="unsafe")).startswith("-BUSY")
-    figures = await fleet.metrics()
-    assert figures['app_busy_total{tier="unsafe"}'] == 1 and figures["app_inflight"] == 1
+    metrics = await fleet.metrics()
+    assert metrics['app_busy_total{tier="unsafe"}'] == 1 and metrics["app_inflight"] == 1
 
 
 @with_fleet
@@ -214,19 +214,19 @@
     path.write_text(json.dumps({**json.loads(text), "discovery": f"127.0.0.1:{fleet.discovery.port}"}))
 
     async def until(name, count):
-        while (figures := await fleet.metrics())[name] < count:
+        while (metrics := await fleet.metrics())[name] < count:
             await asyncio.sleep(0.01)
-        return figures
+        return metrics
 
     fleet.process.send_signal(1)
-    figures = await until("app_reconfig_ok_total", 1)
-    assert figures["app_reconfig_failed_total"] == 0
+    metrics = await until("app_reconfig_ok_total", 1)
+    assert metrics["app_reconfig_failed_total"] == 0
     path.write_text(text[:50])
     fleet.process.send_signal(1)
     await until("app_reconfig_failed_total", 1)
-    await asyncio.sleep(0.4)  # tried again meanwhile: that is no further reload
-    figures = await fleet.metrics()
-    assert (figures["app_reconfig_ok_total"], figures["app_reconfig_failed_total"]) == (1, 1)
+    await asyncio.sleep(0.4)  # retried meanwhile: that is no further reload
+    metrics = await fleet.metrics()
+    assert (metrics["app_reconfig_ok_total"], metrics["app_reconfig_failed_total"]) == (1, 1)
 
 
 @with_fleet
--- /dev/null
+++ b/tests/test_batches.py
@@ -0,0 +1,46 @@
+"""Batches: what a relay sends as one call, and an outcome for each of its messages."""
+
+import asyncio
+import json
+
+from loopback import answer, with_fleet
+
+
+@with_fleet
+async def test_a_batch_with_mixed_outcomes(fleet):
+    def mixed(body):
+        rows = b'[{"id":"b1","state":"done"},{"id":"b2","state":"failed"},{"id":"b3","state":"busy"}]'
+        return answer(200, rows, Retry_After="0.3")
+
+    # The first call shows that more than one may be in flight; then three are sent as one batch.
+    endpoint = await fleet.endpoint("a", answer(200), mixed, dest=9, kind="bundles")
+    client = await fleet.start_relay()
+    await client.put("b0", dest=9)
+    await endpoint.call()
+    client.writer.write(b"".join(client.message(f"b{n}", kind="unsafe", dest=9) for n in (1, 2, 3)))
+    assert [await client.line() for _ in range(3)] == ["+OK"] * 3
+    assert (await endpoint.call())[0] == "/events/bundle"
+    finals = [await fleet.discovery.final() for _ in range(2)]
+    assert {final["id"]: final["status"] for final in finals} == {"b2": "undeliverable", "b3": "deferred"}
+    assert "b1" in fleet.relay.journal.finished_ids
+
+
+@with_fleet
+async def test_the_message_with_the_most_time_leads_its_batch(fleet):
+    # The call lasts until the deadline of its first message. Led by one with an earlier deadline, it would be
+    # abandoned then, and a response that still arrives would complete none of the others.
+    endpoint = await fleet.endpoint("a", answer(200), b"", dest=9, kind="bundles")
+    client = await fleet.start_relay()
+    await client.put("b0", dest=9)
+    await endpoint.call()
+    lifetimes = {"b1": 700, "b2": 5000, "b3": 2000}
+    client.writer.write(b"".join(client.message(i, dest=9, life=life) for i, life in lifetimes.items()))
+    assert [await client.line() for _ in lifetimes] == ["+OK"] * 3
+    _, headers, body, _ = await endpoint.call()
+    assert [row["id"] for row in json.loads(body)] == ["b2", "b3", "b1"]
+    assert (await fleet.discovery.final())["id"] == "b1"  # its own deadline has passed, and the call goes on
+    rows = json.dumps([{"id": i, "state": "done"} for i in lifetimes]).encode()
+    endpoint.writers.copy().pop().write(answer(200, rows))
+    while fleet.relay.journal.messages:
+        await asyncio.sleep(0.01)
+    assert fleet.discovery.finals.empty() and endpoint.calls.empty()
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,4 +1,4 @@
-"""Whatever is kept for a message, a connection or an endpoint has an end: replacements and new ids."""
+"""What is kept for a message, a connection or an endpoint is released: replacements and new ids."""
 
 import asyncio
 
@@ -7,20 +7,20 @@
 from message_relay.server.resp import connection
 
 
-def kept(relay):
+def sizes_of(relay):
     """The sizes of all that is kept for something that comes and goes."""
     state, journal, calls = relay.policy.state, relay.journal, relay.calls
     return {
         "uids": len(relay.directory.numbers),
         "names": len(relay.directory.uids),
         "entries": len(relay.directory.entries),
-        "waits": len(relay.retry_after),
-        "arrived": len(relay.submissions.pending),
-        "arriving": len(relay.submissions.pending_ids),
-        "guards": len(relay.answers.deadline_timers),
+        "retry_after": len(relay.retry_after),
+        "submissions": len(relay.submissions.pending),
+        "pending ids": len(relay.submissions.pending_ids),
+        "deadline timers": len(relay.answers.deadline_timers),
         "attempts": len(relay.attempts.next_attempts),
         "clients": len(relay.clients.connections),
-        "held": len(journal.messages),
+        "journal messages": len(journal.messages),
         "ids": len(journal.numbers_by_id),
         "open": journal.open_count,
         "open keys": len(journal.open_number_by_key),
@@ -30,9 +30,9 @@
         "endpoints": len(state.endpoints),
         "messages": len(state.messages),
         "calls": len(state.calls),
-        "lanes": sum(len(lane.endpoints) for d in state.destinations.values() for lane in d.groups),
+        "groups": sum(len(lane.endpoints) for d in state.destinations.values() for lane in d.groups),
         "keys": len(state.order_queues),
-        "rests": len(state.order_pauses),
+        "order pauses": len(state.order_pauses),
         "notices": len(relay.notifier.pending),
         "queued": sum(len(d.queue) for d in state.destinations.values()),
     }
@@ -40,7 +40,7 @@
 
 @with_fleet
 async def test_endpoints_replaced_over_and_over_leave_nothing_behind(fleet):
-    # New ids at the address of one that has gone, while its calls are out: each is an endpoint of its own.
+    # New ids at the address of a removed endpoint, its calls in flight: each is an endpoint of its own.
     endpoint = await fleet.endpoint("e0")
     client = await fleet.start_relay()
     relay = fleet.relay
@@ -57,12 +57,12 @@
             await asyncio.sleep(0.002)
         if n in (10, 59):
             await asyncio.sleep(0.05)
-            sizes.append(kept(relay))
+            sizes.append(sizes_of(relay))
     assert sizes[0] == sizes[1] and sizes[0]["uids"] == sizes[0]["endpoints"] == 1 == sizes[0]["pools"]
 
 
 @with_fleet
-async def test_an_endpoint_that_goes_with_its_call_out_is_forgotten_when_the_call_ends(fleet):
+async def test_an_endpoint_that_is_removed_with_its_call_in_flight_is_forgotten_when_the_call_ends(fleet):
     endpoint = await fleet.endpoint("a", "hang")
     client = await fleet.start_relay()
     await bounded(fleet.discovery.watches.get())
@@ -71,11 +71,11 @@
     fleet.discovery.change("a", state="terminated")
     assert (await fleet.discovery.final())["id"] == "u"
     await asyncio.sleep(0.05)
-    assert kept(fleet.relay)["endpoints"] == kept(fleet.relay)["lanes"] == 0
+    assert sizes_of(fleet.relay)["endpoints"] == sizes_of(fleet.relay)["groups"] == 0
 
 
 @with_fleet
-async def test_a_client_that_asks_once_and_keeps_its_connection_is_let_go(fleet):
+async def test_a_client_that_sends_once_and_keeps_its_connection_is_disconnected(fleet):
     await fleet.endpoint("a")
     client = await fleet.start_relay()
     assert await client.put("m1") == "+OK"
--- a/tests/test_key_window.py
+++ b/tests/test_key_window.py
@@ -1,4 +1,4 @@
-"""Keys that are known for one second only, on days of restarts."""
+"""Idempotency keys with a window of one second, and restarts."""
 
 import asyncio
 import time
@@ -12,8 +12,8 @@
 KEYED = 1  # the class
 
 
-class Restarted:
-    """A courier that finds a keyed message of which a call began so long ago."""
+class RestartedRelay:
+    """A relay that finds a keyed message in its journal whose attempt started `age` seconds ago."""
 
     def __init__(self, folder, scope, age, zone=0):
         self.fleet = Fleet(folder)
@@ -25,9 +25,9 @@
         await self.fleet.__aenter__()
         self.endpoint = await self.fleet.endpoint("a")
         journal = Journal(self.folder / "state", 3_000_000, WINDOW_S).acquire()
-        self.began = time.time() - self.age
-        journal.accept(AcceptedMessage(1, "m", KEYED, 0, 7, "k", self.began + 9, False, b"x"))
-        journal.record_attempt([1], self.began, self.zone)
+        self.started_at = time.time() - self.age
+        journal.accept(AcceptedMessage(1, "m", KEYED, 0, 7, "k", self.started_at + 9, False, b"x"))
+        journal.record_attempt([1], self.started_at, self.zone)
         journal.close()
         self.client = await self.fleet.start_relay()
         return self
@@ -40,11 +40,13 @@
 
 
 @pytest.mark.parametrize("scope", SCOPES)
-def test_a_restart_after_the_window_repeats_nothing_and_answers_at_once(tmp_path, scope):
+def test_a_restart_after_the_window_retries_nothing_and_notifies_at_once(tmp_path, scope):
     async def run():
-        async with Restarted(tmp_path, scope, WINDOW_S) as restarted:
+        async with RestartedRelay(tmp_path, scope, WINDOW_S) as restarted:
             final = await restarted.fleet.discovery.final()
-            assert final["id"] == "m" and time.time() - restarted.began < 2 * WINDOW_S  # its time is 9 s
+            assert (
+                final["id"] == "m" and time.time() - restarted.started_at < 2 * WINDOW_S
+            )  # its lifetime is 9 s
             assert final["status"] == ("deferred" if scope == "all" else "undeliverable")
             assert restarted.endpoint.calls.empty()
 
@@ -52,19 +54,19 @@
 
 
 @pytest.mark.parametrize("scope", SCOPES)
-def test_a_restart_within_the_window_repeats_in_time(tmp_path, scope):
+def test_a_restart_within_the_window_retries_in_time(tmp_path, scope):
     async def run():
-        async with Restarted(tmp_path, scope, 0.0) as restarted:
+        async with RestartedRelay(tmp_path, scope, 0.0) as restarted:
             assert (await restarted.endpoint.call())[1]["idempotency-key"] == "k"
-            assert time.time() - restarted.began < WINDOW_S
+            assert time.time() - restarted.started_at < WINDOW_S
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("scope", SCOPES)
-def test_one_that_finds_no_endpoint_in_its_window_is_answered_when_that_closes(tmp_path, scope):
+def test_a_message_without_an_endpoint_in_its_window_is_notified_when_the_window_ends(tmp_path, scope):
     async def run():
-        async with Restarted(tmp_path, scope, 0.0) as restarted:
+        async with RestartedRelay(tmp_path, scope, 0.0) as restarted:
             fleet = restarted.fleet
             await restarted.endpoint.call()
             fleet.discovery.change("a", state="terminating")
@@ -75,17 +77,17 @@
             fleet.discovery.change("b", state="terminating")
             assert (await fleet.discovery.final())["id"] == "n"
             now = asyncio.get_running_loop().time()
-            assert now - first < WINDOW_S + 0.5  # its time is 8 s
-            while not endpoint.calls.empty():  # those that went before the endpoint was known to drain
+            assert now - first < WINDOW_S + 0.5  # its lifetime is 8 s
+            while not endpoint.calls.empty():  # those sent before the endpoint was known to be draining
                 *_, at = await bounded(endpoint.calls.get())
                 assert at - first < WINDOW_S
 
     asyncio.run(run())
 
 
-def test_a_connection_that_comes_up_as_the_window_closes_writes_no_repeat(tmp_path, monkeypatch):
+def test_a_connection_established_as_the_window_ends_writes_no_retry(tmp_path, monkeypatch):
     async def run():
-        async with Restarted(tmp_path, "all", 0.0) as restarted:
+        async with RestartedRelay(tmp_path, "all", 0.0) as restarted:
             await restarted.endpoint.call()
             relay, now = restarted.fleet.relay, time.time()
             relay.journal.messages[2] = AcceptedMessage(
--- a/tests/test_quiesce.py
+++ b/tests/test_quiesce.py
@@ -1,4 +1,4 @@
-"""Quiesce and resume: clients are sent away without losing any, and come back."""
+"""Quiesce and resume: clients are moved away without losing any, and return."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 @with_fleet
-async def test_a_quiesced_courier_says_no_serves_late_comers_and_closes(fleet):
+async def test_a_quiesced_instance_is_unready_serves_late_clients_and_closes(fleet):
     endpoint = await fleet.endpoint("a", "hang", answer(200))
     kept = await fleet.start_relay()
     assert await kept.send(PING) == "+PONG" and await fleet.run_command("health") == "ACK\n"
@@ -29,17 +29,17 @@
     assert (await again.send(PING)).startswith("-")
     assert await bounded(again.reader.read()) == b""
     got = set()
-    while len(got) < 3:  # the one that hangs is sent again, at a time that chance sets
+    while len(got) < 3:  # the one that hangs is retried after a random backoff
         got.add((await endpoint.call())[1]["x-request-id"])
     assert got == {"before", "late", "later"}
     assert fleet.relay.clients.listening and not fleet.relay.lifecycle.closed.done()
 
 
 @with_fleet
-async def test_resume_undoes_all(fleet):
+async def test_resume_undoes_quiesce(fleet):
     endpoint = await fleet.endpoint("a")
     client = await fleet.start_relay()
-    assert await fleet.run_command("resume") == "ACK\n"  # of nothing: harmless
+    assert await fleet.run_command("resume") == "ACK\n"  # not quiesced: no effect
     assert await fleet.run_command("quiesce") == "ACK\n"
     assert await bounded(client.reader.read()) == b""
     for _ in range(2):
@@ -55,7 +55,7 @@
 
 
 @with_fleet
-async def test_a_request_that_has_come_is_read_before_its_connection_is_closed(fleet):
+async def test_a_request_that_has_arrived_is_read_before_its_connection_is_closed(fleet):
     endpoint = await fleet.endpoint("a")
     client = await fleet.start_relay()
     assert await client.send(PING) == "+PONG"
@@ -63,14 +63,14 @@
     served = next(iter(relay.clients.connections))
     client.writer.write(Client.message("m"))
     while not has_unread_data(served.sock):
-        pass  # the loop is not let go: the request lies unread
+        pass  # the loop does not run: the request stays unread
     relay.clients.close_idle_connections()
     assert await client.line() == "+OK"
     assert (await endpoint.call())[1]["x-request-id"] == "m"
 
 
 @with_fleet
-async def test_a_request_in_pieces_outlasts_the_closing(fleet):
+async def test_a_request_in_pieces_is_completed_before_the_close(fleet):
     endpoint = await fleet.endpoint("a")
     client = await fleet.start_relay()
     message = Client.message("m")
@@ -83,7 +83,7 @@
 
 
 @with_fleet
-async def test_who_comes_long_after_is_handed_back(fleet):
+async def test_a_client_that_comes_long_after_is_rejected(fleet):
     await fleet.endpoint("a")
     await fleet.start_relay()
     fleet.relay.operations.quiesce()
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -1,7 +1,6 @@
-"""The courier in this process, between scripted endpoints, discovery and clients."""
+"""One relay server in this process, between scripted endpoints, discovery and clients."""
 
 import asyncio
-import json
 import time
 from dataclasses import replace
 
@@ -12,7 +11,7 @@
 
 
 @with_fleet
-async def test_a_message_goes_on_unchanged(fleet):
+async def test_a_message_is_forwarded_unchanged(fleet):
     endpoint = await fleet.endpoint("a")
     client = await fleet.start_relay()
     body = bytes(range(256)) * 8 + b"\r\n*1\r\n$4\r\nPING\r\n"
@@ -24,7 +23,7 @@
 
 
 @with_fleet
-async def test_a_safe_message_is_tried_again_and_an_unsafe_one_is_not(fleet):
+async def test_an_idempotent_message_is_retried_and_a_non_idempotent_one_is_not(fleet):
     endpoint = await fleet.endpoint("a", answer(500), answer(200), answer(500))
     client = await fleet.start_relay()
     await client.put("s")
@@ -35,38 +34,38 @@
 
 
 @with_fleet
-async def test_a_told_wait_is_heeded_and_passed_on(fleet):
-    # A wait binds from when its answer was written, for every message to that destination.
+async def test_a_retry_after_is_obeyed_and_passed_on(fleet):
+    # A Retry-After holds from when its response was written, for every message to that destination.
     endpoint = await fleet.endpoint("a", answer(429, Retry_After="0.7"))
     client = await fleet.start_relay()
     await client.put("m1")
-    told = (await endpoint.call())[3]
+    rejected_at = (await endpoint.call())[3]
     final = await fleet.discovery.final()
     assert (final["id"], final["status"]) == ("m1", "deferred") and 600 <= final["again_ms"] <= 700
     await client.put("m2")
-    assert (await endpoint.call())[3] - told >= 0.7
+    assert (await endpoint.call())[3] - rejected_at >= 0.7
 
 
 @with_fleet
-async def test_a_load_report_reaches_the_decisions(fleet):
+async def test_a_load_report_reaches_the_policy(fleet):
     reports = [answer(200, X_Server_Load=text) for text in ("x1=25,x0=0.4", "x0=0.4")]
     endpoint = await fleet.endpoint("a", *reports)
     fleet.raw["report"] = {"fields": ["x0", "x1"]}
     client = await fleet.start_relay()
-    relay, told = fleet.relay, []
-    tell = relay.events.add
-    relay.events.add = lambda event: (told.append(event), tell(event))
-    for m in ("m1", "m2"):
-        await client.put(m)
+    relay, events = fleet.relay, []
+    add_event = relay.events.add
+    relay.events.add = lambda event: (events.append(event), add_event(event))
+    for message_id in ("m1", "m2"):
+        await client.put(message_id)
         await endpoint.call()
-        while sum(isinstance(event, AttemptEnded) for event in told) < int(m[1]):
+        while sum(isinstance(event, AttemptEnded) for event in events) < int(message_id[1]):
             await asyncio.sleep(0.01)
-    reports = [event for event in told if isinstance(event, LoadReportReceived)]
+    reports = [event for event in events if isinstance(event, LoadReportReceived)]
     assert reports == [LoadReportReceived(relay.directory.numbers["a"], (0.4, 25.0))]
 
 
 @with_fleet
-async def test_nothing_goes_to_a_draining_endpoint(fleet):
+async def test_nothing_is_sent_to_a_draining_endpoint(fleet):
     endpoint_a = await fleet.endpoint("a")
     endpoint_b = await fleet.endpoint("b")
     client = await fleet.start_relay()
@@ -90,74 +89,34 @@
 
 
 @with_fleet
-async def test_a_bundle_with_mixed_ends(fleet):
-    def mixed(body):
-        rows = b'[{"id":"b1","state":"done"},{"id":"b2","state":"failed"},{"id":"b3","state":"busy"}]'
-        return answer(200, rows, Retry_After="0.3")
-
-    # The first call teaches the courier that more than one may be out; then three travel as one.
-    endpoint = await fleet.endpoint("a", answer(200), mixed, dest=9, kind="bundles")
-    client = await fleet.start_relay()
-    await client.put("b0", dest=9)
-    await endpoint.call()
-    client.writer.write(b"".join(client.message(f"b{n}", kind="unsafe", dest=9) for n in (1, 2, 3)))
-    assert [await client.line() for _ in range(3)] == ["+OK"] * 3
-    assert (await endpoint.call())[0] == "/events/bundle"
-    finals = [await fleet.discovery.final() for _ in range(2)]
-    assert {f["id"]: f["status"] for f in finals} == {"b2": "undeliverable", "b3": "deferred"}
-    assert "b1" in fleet.relay.journal.finished_ids
-
-
-@with_fleet
-async def test_the_message_with_the_most_time_leads_its_bundle(fleet):
-    # The call lasts as long as that one may wait. Led by one whose time is up sooner, it counts as given up
-    # from then on, and an answer that still comes delivers none of the others.
-    endpoint = await fleet.endpoint("a", answer(200), b"", dest=9, kind="bundles")
-    client = await fleet.start_relay()
-    await client.put("b0", dest=9)
-    await endpoint.call()
-    lives = {"b1": 700, "b2": 5000, "b3": 2000}
-    client.writer.write(b"".join(client.message(i, dest=9, life=life) for i, life in lives.items()))
-    assert [await client.line() for _ in lives] == ["+OK"] * 3
-    _, headers, body, _ = await endpoint.call()
-    assert [row["id"] for row in json.loads(body)] == ["b2", "b3", "b1"]
-    assert (await fleet.discovery.final())["id"] == "b1"  # its own time is up, and the call goes on
-    rows = json.dumps([{"id": i, "state": "done"} for i in lives]).encode()
-    endpoint.writers.copy().pop().write(answer(200, rows))
-    while fleet.relay.journal.messages:
-        await asyncio.sleep(0.01)
-    assert fleet.discovery.finals.empty() and endpoint.calls.empty()
-
-
-@with_fleet
-async def test_a_repeat_is_not_written_on_a_connection_that_comes_up_after_the_window_of_its_key(fleet):
+async def test_a_retry_is_not_written_on_a_connection_established_after_the_window_of_its_key(fleet):
     fleet.raw["classes"][1]["keyTtlUs"] = 700_000
     endpoint = await fleet.endpoint("a", "reset")
     client = await fleet.start_relay()
-    calls, held = fleet.relay.calls, []
-    connected, calls._connected = calls._connected, lambda *up: held.append(up)
+    calls, established = fleet.relay.calls, []
+    connected, calls._connected = calls._connected, lambda *arguments: established.append(arguments)
     await client.put("m", kind="keyed", key="k")
-    while len(held) < 1:
+    while len(established) < 1:
         await asyncio.sleep(0.01)
-    connected(*held[0])
-    ran = time.time()
-    while len(held) < 2:  # the repeat's connection is up, but that is told only when the window is over
+    connected(*established[0])
+    applied_at = time.time()
+    while len(established) < 2:  # the retry's connection is established, but reported only after the window
         await asyncio.sleep(0.01)
-    while time.time() < ran + 0.7:
+    while time.time() < applied_at + 0.7:
         await asyncio.sleep(0.01)
-    connected(*held[1])
-    assert (await fleet.discovery.final())["id"] == "m"  # and at once: no try is left that may begin
-    assert time.time() < ran + 2
+    connected(*established[1])
+    assert (await fleet.discovery.final())["id"] == "m"  # and at once: no further attempt may start
+    assert time.time() < applied_at + 2
     assert (await endpoint.call())[1]["idempotency-key"] == "k" and endpoint.calls.empty()
 
 
 @with_fleet
-async def test_discovery_lost_and_back(fleet):
+async def test_discovery_is_lost_and_comes_back(fleet):
     await fleet.endpoint("a")
     client = await fleet.start_relay()
     await bounded(fleet.discovery.watches.get())
     await fleet.discovery.stop()
-    await client.put("m1")  # goes on with the list that it has
+    await client.put("m1")  # uses the list that it has
     await fleet.endpoints["a"].call()
     endpoint = await fleet.endpoint("b", dest=8)
     fleet.discovery.rev += 1
@@ -168,10 +127,10 @@
 
 
 def test_a_silent_watch_is_opened_again(tmp_path, monkeypatch):
-    # A cut connection stays open and silent: only the missing empty lines tell.
+    # A cut connection stays open and silent: only the missing empty lines show it.
     monkeypatch.setattr("message_relay.server.discovery.endpoint_watch.SILENCE_TIMEOUT_S", 0.2)
 
-    class Mute(Discovery):
+    class SilentDiscovery(Discovery):
         def _push(self, line):
             pass
 
@@ -198,7 +157,7 @@
 
 
 @with_fleet
-async def test_a_message_handed_in_twice_is_not_run_twice(fleet):
+async def test_a_message_submitted_twice_is_not_sent_twice(fleet):
     endpoint = await fleet.endpoint("a")
     client = await fleet.start_relay()
     client.writer.write(client.message("m", kind="unsafe") * 2)
@@ -212,35 +171,35 @@
 
 
 @with_fleet
-async def test_with_no_room_it_refuses_and_says_when_to_come_again(fleet):
+async def test_over_capacity_messages_are_rejected_with_a_retry_after(fleet):
     fleet.raw = settings(policyLimits__maxOpen=4)
-    client = await fleet.start_relay()  # no endpoint: all that is taken on waits
+    client = await fleet.start_relay()  # no endpoint: all that is accepted waits
     client.writer.write(b"".join(client.message(f"m{n}") for n in range(6)))
     answers = [await client.line() for n in range(6)]
-    busy = [a for a in answers if a.startswith("-BUSY ")]
-    assert answers[0] == "+OK" and busy and all(0 < int(a.split()[1]) <= 2000 for a in busy)
+    busy = [answer for answer in answers if answer.startswith("-BUSY ")]
+    assert answers[0] == "+OK" and busy and all(0 < int(answer.split()[1]) <= 2000 for answer in busy)
 
 
 @with_fleet
-async def test_a_full_disk_refuses(fleet):
+async def test_a_full_disk_rejects_messages(fleet):
     # Old and new journal together must stay under the limit: more than that is a crash.
     fleet.limits["disk_mb"] = 0.1
     client = await fleet.start_relay()
     answers = [await client.put(f"m{n}", body=b"x" * 9000) for n in range(10)]
     assert "+OK" in answers and answers[-1].startswith("-BUSY ")
     files = (fleet.folder / "state").iterdir()
-    assert sum(-(-f.stat().st_size // 512) * 512 for f in files) < 100_000
+    assert sum(-(-file.stat().st_size // 512) * 512 for file in files) < 100_000
     assert len(fleet.relay.journal.messages) == answers.count("+OK") < 10
     endpoint = await fleet.endpoint("a")
     fleet.discovery.rev += 1
-    fleet.discovery.drop()  # the watch is opened again and brings the endpoint: room comes free
+    fleet.discovery.drop()  # the watch is opened again and lists the endpoint: space becomes free
     for _ in range(answers.count("+OK")):
         await endpoint.call()
     assert await client.put("small") == "+OK"
 
 
 @with_fleet
-async def test_a_failed_write_refuses(fleet):
+async def test_a_failed_write_rejects_the_message(fleet):
     endpoint = await fleet.endpoint("a")
     client = await fleet.start_relay()
 
@@ -251,11 +210,11 @@
         patch.setattr("message_relay.server.journal.file.os.write", fail)
         assert (await client.put("m1")).startswith("-BUSY")
     assert await client.put("m2") == "+OK"
-    assert (await endpoint.call())[1]["x-request-id"] == "m2"  # m1 was refused, so it did not run
+    assert (await endpoint.call())[1]["x-request-id"] == "m2"  # m1 was rejected, so it was not sent
 
 
 @with_fleet
-async def test_an_unsent_message_ends_in_time(fleet):
+async def test_an_unsent_message_is_deferred_in_time(fleet):
     client = await fleet.start_relay()
     start = time.monotonic()
     assert await client.put("m", life=600) == "+OK"
@@ -263,7 +222,7 @@
     assert time.monotonic() - start < 0.6 + 0.3
 
 
-def test_one_client_that_hangs_does_not_hold_the_others(tmp_path):
+def test_a_client_that_hangs_does_not_delay_the_others(tmp_path):
     async def run():
         async with Fleet(tmp_path) as fleet:
             await fleet.endpoint("a")
@@ -276,7 +235,7 @@
 
 
 @with_fleet
-async def test_a_client_that_ends_its_sending_still_hears_its_answer(fleet):
+async def test_a_client_that_closes_its_sending_side_still_gets_its_answer(fleet):
     # Ending a connection with no answer loses the message.
     endpoint = await fleet.endpoint("a")
     client = await fleet.start_relay()
@@ -288,8 +247,8 @@
 
 
 @with_fleet
-async def test_a_call_that_fails_inside_is_ended(fleet):
-    # An error in the courier's own code must neither end the process nor hold a slot for good.
+async def test_a_call_that_fails_by_an_internal_error_is_ended(fleet):
+    # An error in the relay's own code must neither end the process nor occupy a slot for good.
     await fleet.endpoint("a")
     client = await fleet.start_relay()
     with pytest.MonkeyPatch.context() as patch:
@@ -303,7 +262,7 @@
 
 @with_fleet
 async def test_a_known_key_keeps_its_age(fleet):
-    # Past the destination's memory of a key, another attempt could take effect twice.
+    # After the destination has forgotten a key, another attempt could be applied twice.
     endpoint = await fleet.endpoint("a", answer(500), answer(500), answer(500))
     client = await fleet.start_relay()
     await client.put("m1", kind="keyed", key="k")
@@ -318,36 +277,36 @@
 
 
 @with_fleet
-async def test_a_key_that_is_still_open_is_taken_over_by_the_newer_message(fleet):
-    # A client that heard no answer in time hands its message in anew: two copies must not be out at once.
+async def test_the_key_of_an_open_message_passes_to_the_newer_message(fleet):
+    # A client without an answer in time submits its message anew: two copies must not be in flight at once.
     endpoint = await fleet.endpoint("a", "hang")
     client = await fleet.start_relay()
     await client.put("m1", kind="keyed", key="k")
     await endpoint.call()
     await client.put("m2", kind="keyed", key="k")
     assert (await fleet.discovery.final()) == {"id": "m1", "status": "deferred"}
-    await bounded(endpoint.ended.get())  # the older call was given up
+    await bounded(endpoint.ended.get())  # the older call was cancelled
     path, headers, *_ = await endpoint.call()
     assert (headers["x-request-id"], headers["idempotency-key"]) == ("m2", "k")
 
 
-@pytest.mark.parametrize("news", ["wait", "drain"])
-def test_news_holds_for_calls_that_were_decided_before_it(tmp_path, news):
-    # It can come while a connection is made for a call: the host looks once more before it writes.
+@pytest.mark.parametrize("change", ["wait", "drain"])
+def test_a_change_holds_for_calls_that_were_decided_before_it(tmp_path, change):
+    # It can come while a connection for a call is established: the relay checks again before it writes.
     async def run():
         async with Fleet(tmp_path) as fleet:
             endpoint = await fleet.endpoint("a")
             client = await fleet.start_relay()
             relay = fleet.relay
             number = relay.directory.numbers["a"]
-            if news == "wait":
+            if change == "wait":
                 relay.attempts.retry_after_received(number, 60_000_000)
             else:
                 relay.directory.entries[number] = replace(
                     relay.directory.entries[number], state=EndpointState.DRAINING
                 )
             assert await client.put("m", kind="unsafe") == "+OK"
-            assert (await fleet.discovery.final())["status"] == "deferred"  # it never ran
+            assert (await fleet.discovery.final())["status"] == "deferred"  # it was never sent
             assert endpoint.calls.empty()
 
     asyncio.run(run())
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""The courier as a process of its own: killed, terminated, started again."""
+"""The relay as a process of its own: killed, terminated, started again."""
 
 import asyncio
 import contextlib
@@ -12,8 +12,8 @@
 
 
 @with_fleet
-async def test_what_was_taken_on_outlasts_sigkill(fleet):
-    # In flight when the process dies: each may have run, so only what may be repeated goes again.
+async def test_accepted_messages_survive_sigkill(fleet):
+    # In flight when the process dies: each may have been applied, so only what may be repeated is sent again.
     endpoint_e = await fleet.endpoint("a", "hang", "hang", "hang", dest=1)
     endpoint_f = await fleet.endpoint("b", "hang", dest=2)
     endpoint_g = await fleet.endpoint("c", "hang", dest=3)
@@ -22,7 +22,7 @@
     await client.put("safe", dest=1)
     await client.put("unsafe", kind="unsafe", dest=2)
     await client.put("keyed", kind="keyed", key="k", dest=3)
-    await client.put("held", dest=5)  # its one endpoint drains
+    await client.put("waiting", dest=5)  # its only endpoint is draining
     for endpoint in (endpoint_e, endpoint_f, endpoint_g):
         await endpoint.call()
     await fleet.kill()
@@ -32,9 +32,9 @@
     assert await fleet.discovery.final() == {"id": "unsafe", "status": "undeliverable"}
     assert (await endpoint_e.call())[1]["x-request-id"] == "safe"
     assert (await endpoint_g.call())[1]["idempotency-key"] == "k"
-    assert (await endpoint_h.call())[1]["x-request-id"] == "held"
+    assert (await endpoint_h.call())[1]["x-request-id"] == "waiting"
     assert endpoint_f.calls.empty()
-    assert await client.put("safe", dest=1) == "+OK"  # known: not run again
+    assert await client.put("safe", dest=1) == "+OK"  # known: not sent again
     await client.put("next", dest=1)
     assert (await endpoint_e.call())[1]["x-request-id"] == "next"
 
@@ -47,7 +47,7 @@
 
 
 @with_fleet
-async def test_after_sigkill_a_repeat_stays_in_the_zone_where_it_may_have_run(fleet):
+async def test_after_sigkill_a_retry_stays_in_the_zone_where_it_may_have_been_applied(fleet):
     endpoint_b = await fleet.endpoint("b", "hang")
     zoned(fleet)
     client = await fleet.start_process()
@@ -61,7 +61,7 @@
 
 
 @with_fleet
-async def test_a_key_that_comes_again_stays_in_the_zone_where_it_may_have_run(fleet):
+async def test_a_key_submitted_again_stays_in_the_zone_where_it_may_have_been_applied(fleet):
     endpoint_b = await fleet.endpoint("b")
     zoned(fleet)
     client = await fleet.start_relay()
@@ -79,7 +79,7 @@
 
 
 @with_fleet
-async def test_what_has_ended_does_not_come_again(fleet):
+async def test_completed_messages_are_not_sent_again(fleet):
     endpoint = await fleet.endpoint("a", answer(200), answer(429))
     client = await fleet.start_process()
     await client.put("m1", kind="unsafe")
@@ -99,7 +99,7 @@
 
 
 @with_fleet
-async def test_a_final_without_its_204_is_told_again(fleet):
+async def test_a_final_notice_without_its_204_is_sent_again(fleet):
     await fleet.endpoint("a", answer(500))
     fleet.discovery.notice_status = [500] * 1000
     client = await fleet.start_process()
@@ -124,7 +124,7 @@
 
 
 @with_fleet
-async def test_a_torn_journal_is_cut_off_and_used(fleet):
+async def test_a_torn_journal_is_truncated_and_used(fleet):
     client = await fleet.start_process()
     await client.put("m1", dest=5)
     await client.put("m2", dest=5)
@@ -140,7 +140,7 @@
 
 @with_fleet
 async def test_sigterm_under_traffic(fleet):
-    # New connections go on coming for a while, a call that is out is let finish, nothing answered is lost.
+    # New connections are accepted for a while, a call in flight may finish, nothing acknowledged is lost.
     endpoint = await fleet.endpoint("a")
     client = await fleet.start_process()
     start = time.monotonic()
@@ -176,7 +176,7 @@
 
 
 @with_fleet
-async def test_running_out_of_files_does_not_end_it(fleet):
+async def test_running_out_of_descriptors_does_not_end_the_process(fleet):
     # More clients than descriptors: the longest unused are closed, the process and its calls go on.
     endpoint = await fleet.endpoint("a")
     fleet.limits["sockets"] = 40
