--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -79,7 +79,7 @@
 
 
 @with_fleet
-async def test_a_cordon_holds_across_lists_and_restarts_until_it_is_lifted(fleet):
+async def test_a_cordon_persists_across_lists_and_restarts_until_it_is_removed(fleet):
     a, b = await fleet.endpoint("a"), await fleet.endpoint("b")
     client = await fleet.start_process()
     assert (await fleet.run_command("cordon nobody")).startswith("NAK ")
@@ -106,40 +106,40 @@
     assert await fleet.run_command("uncordon a") == "ACK\n"
     assert await client.put("last") == "+OK"
     assert (await a.call())[1]["x-request-id"] == "last"
-    # What was out when the process was killed went again, to b as well: only the last one counts here.
+    # What was in flight when the process was killed was sent again, also to b: only the last one counts here.
     assert all(b.calls.get_nowait()[1]["x-request-id"] != "last" for _ in range(b.calls.qsize()))
 
 
 @with_fleet
 async def test_a_call_that_waits_for_its_connection_is_not_written_after_the_cordon(fleet):
-    a = await fleet.endpoint("a")
+    endpoint = await fleet.endpoint("a")
     client = await fleet.start_relay()
-    host = fleet.relay
-    begun = []
-    start = host.calls._connected  # the cordon comes between the connection's start and its first byte
+    relay = fleet.relay
+    started = []
+    original = relay.calls._connected  # the cordon comes between the connection's start and its first byte
 
     def connected(call, connection, error):
-        if not begun:
-            begun.append(1)
-            host.operations.cordon("a")
-        start(call, connection, error)
+        if not started:
+            started.append(1)
+            relay.operations.cordon("a")
+        original(call, connection, error)
 
-    host.calls._connected = connected
+    relay.calls._connected = connected
     assert await client.put("m") == "+OK"
-    while not begun:
+    while not started:
         await asyncio.sleep(0.001)
     await asyncio.sleep(0.1)
-    assert a.calls.empty() and host.journal.open_count == 1
-    host.operations.uncordon("a")
-    assert (await a.call())[1]["x-request-id"] == "m"
+    assert endpoint.calls.empty() and relay.journal.open_count == 1
+    relay.operations.uncordon("a")
+    assert (await endpoint.call())[1]["x-request-id"] == "m"
 
 
 @with_fleet
-async def test_what_cannot_be_recorded_is_not_promised(fleet):
-    e = await fleet.endpoint("a", answer(200))
+async def test_a_cordon_that_cannot_be_recorded_is_rejected(fleet):
+    endpoint = await fleet.endpoint("a", answer(200))
     client = await fleet.start_relay()
     fleet.relay.journal.limit_bytes = 0
     assert (await fleet.run_command("cordon a")).startswith("NAK can't be recorded")
     fleet.relay.journal.limit_bytes = 3_000_000
     assert await client.put("m") == "+OK"
-    await e.call()
+    await endpoint.call()
--- a/tests/test_wide_lists.py
+++ b/tests/test_wide_lists.py
@@ -50,24 +50,26 @@
             fleet.raw["groupSize"] = ENDPOINT_COUNT
             await fleet.endpoint("a")
             await fleet.start_relay()
-            host = fleet.relay
-            host.watch.headers_received(200, {})
+            relay = fleet.relay
+            relay.watch.headers_received(200, {})
             started_s = time.process_time()
             for piece in form(targets()):
-                host.watch.body_received(piece)
-            host.turns.run()
+                relay.watch.body_received(piece)
+            relay.turns.run()
             took_s = time.process_time() - started_s
             listed = [
-                e for e in host.directory.entries.values() if host.directory.uids[e.endpoint].startswith("s-")
+                e
+                for e in relay.directory.entries.values()
+                if relay.directory.uids[e.endpoint].startswith("s-")
             ]
             assert len(listed) == ENDPOINT_COUNT
-            assert len(host.policy.state.endpoints) >= ENDPOINT_COUNT
+            assert len(relay.policy.state.endpoints) >= ENDPOINT_COUNT
             for piece in form(targets("terminating")):
-                host.watch.body_received(piece)
-            host.turns.run()
+                relay.watch.body_received(piece)
+            relay.turns.run()
             assert not [
                 endpoint
-                for endpoint in host.policy.state.endpoints.values()
+                for endpoint in relay.policy.state.endpoints.values()
                 if endpoint.state.value == "ready" and endpoint.group.destination.number != 7
             ]
             print(f"{form.__name__}: {took_s * 1000:.0f} ms of processor time")
