--- a/message_relay/policy/rate_limiter.py
+++ b/message_relay/policy/rate_limiter.py
@@ -23,13 +23,13 @@
 
 def tokens(state: PolicyState, group: EndpointGroup) -> float:
     """Calls that the group's rate allows now; 1 where it has none."""
-    rate = group.rate_limit_per_s
+    rate, bucket = group.rate_limit_per_s, group.bucket
     if not rate:
         return 1.0
-    if state.now_us > group.bucket.updated_at_us:
+    if state.now_us > bucket.updated_at_us:
         burst_s = COSTLY_BURST_S if state.settings.rejected_call_cost else BURST_S
-        group.bucket.refill(state.now_us, rate, max(1.0, rate * burst_s))
-    return group.bucket.tokens
+        bucket.refill(state.now_us, rate, max(1.0, rate * burst_s))
+    return bucket.tokens
 
 
 def advertise(state: PolicyState, group: EndpointGroup, rate_limit_per_s: float) -> None:
--- a/message_relay/policy_state.py
+++ b/message_relay/policy_state.py
@@ -2,6 +2,7 @@
 
 An endpoint group is what shares one rate limit: a destination, or one endpoint of it where the kind of
 destination says that its endpoints are independent.
+The objects refer to one another: they are compared by identity and have no repr of their own.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 INITIAL_SLOT_OCCUPANCY_US = 1e5
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class TokenBucket:
     """Tokens that accrue at a rate that is given with each use."""
 
@@ -34,9 +35,11 @@
 
     def refill(self, now_us: int, rate_per_s: float, capacity: float = 1.0) -> float:
         """Add what has accrued. Returns the tokens before they are cut to the capacity."""
-        tokens = self.tokens + rate_per_s * max(0, now_us - self.updated_at_us) / 1e6
-        self.tokens = min(capacity, tokens)
-        self.updated_at_us = max(now_us, self.updated_at_us)
+        tokens, elapsed_us = self.tokens, now_us - self.updated_at_us
+        if elapsed_us > 0:
+            tokens += rate_per_s * elapsed_us / 1e6
+            self.updated_at_us = now_us
+        self.tokens = tokens if tokens < capacity else capacity
         return tokens
 
     def wait_us(self, rate_per_s: float) -> int:
@@ -44,7 +47,7 @@
         return int((1 - self.tokens) / rate_per_s * 1e6) + 1
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class CircuitBreaker:
     """Whether calls may go to an endpoint, and how many.
 
@@ -62,7 +65,7 @@
     bucket: TokenBucket = field(default_factory=TokenBucket)
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class Endpoint:
     """One endpoint and what its calls showed."""
 
@@ -84,7 +87,7 @@
     connection_limit_at_us: int = 0
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class RecoveryBudget:
     """The calls that a group may get from its first failure on until an answer shows that it is back."""
 
@@ -94,7 +97,7 @@
     bucket: TokenBucket = field(default_factory=lambda: TokenBucket(0.0))
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class EndpointGroup:
     """What shares one rate limit."""
 
@@ -126,7 +129,7 @@
         )
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class Destination:
     """Where messages go: its endpoint groups and the messages that wait for it."""
 
@@ -138,7 +141,7 @@
     arrivals: int = 0
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class Call:
     """One call in flight; a batched one carries several messages."""
 
@@ -152,7 +155,7 @@
     connection_table_full: bool = False  # rejected by a full table of connections
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class Message:
     """A message that needs a final answer, or whose attempts are still in flight."""
 
@@ -206,7 +209,7 @@
         return self.restored and self.attempts == 0
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class TenantQuota:
     """The instance's part of a tenant's quota."""
 
@@ -214,7 +217,7 @@
     bucket: TokenBucket
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class ConnectionRates:
     """Shares of calls, on new connections and on reused ones."""
 
@@ -222,7 +225,7 @@
     reused: float = 0.0
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class CallStatistics:
     """What the calls to all endpoints showed."""
 
--- a/tests/test_restored_messages.py
+++ b/tests/test_restored_messages.py
@@ -106,7 +106,7 @@
             fleet.raw["familyInfo"]["maxCalls"] = SLOTS
             endpoint = await fleet.endpoint("a")
             fleet.discovery.targets["a"]["state"] = "terminating"  # so that nothing is attempted before
-            client = await fleet.outside()
+            client = await fleet.start_process()
             message_ids = [f"m{n}" for n in range(18)]
             for n, message_id in enumerate(message_ids):
                 kind = ("safe", "keyed", "unsafe")[n % 3]
@@ -115,7 +115,7 @@
             await bounded(fleet.process.wait())
             assert endpoint.calls.empty()
             fleet.discovery.targets["a"]["state"] = "in_service"
-            await fleet.outside()
+            await fleet.start_process()
             assert {(await endpoint.call())[1]["x-request-id"] for _ in message_ids} == set(message_ids)
             assert fleet.discovery.finals.empty()
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -255,7 +255,7 @@
             loop, path = asyncio.get_running_loop(), tmp_path / "restart.sock"
             earlier = EarlierProcess(path, journal_of_the_earlier_process(tmp_path / "state", time.time()))
             playing = asyncio.ensure_future(earlier.play())
-            fleet.host = new = RelayServer(loop, load_configuration(fleet.env()))
+            fleet.relay = new = RelayServer(loop, load_configuration(fleet.env()))
             new.prepare()
             await bounded(new_process.take_over(loop, new, path))
             await bounded(playing)
@@ -307,7 +307,7 @@
             loop, path = asyncio.get_running_loop(), tmp_path / "restart.sock"
             earlier = EarlierProcess(path, journal_of_the_earlier_process(tmp_path / "state", time.time()))
             playing = asyncio.ensure_future(earlier.play())
-            fleet.host = new = RelayServer(loop, load_configuration(fleet.env()))
+            fleet.relay = new = RelayServer(loop, load_configuration(fleet.env()))
             new.watch.start = lambda: None  # a later list would bring the ports of this test
             new.prepare()
             await bounded(new_process.take_over(loop, new, path))
