--- a/message_relay/policy/concurrency_window.py
+++ b/message_relay/policy/concurrency_window.py
@@ -39,10 +39,6 @@
     return state.in_flight >= state.settings.call_slots or destination.in_flight >= state.destination_limit
 
 
-def is_full(endpoint: Endpoint) -> bool:
-    """Whether the window of its group or its table of connections leaves no place for one more call."""
-    group = endpoint.group
-    return (
-        group.in_flight >= int(group.concurrency_window)
-        or len(endpoint.in_flight) >= endpoint.connection_limit
-    )
+def is_full(group: EndpointGroup) -> bool:
+    """Whether the group's window leaves no place for one more call."""
+    return group.in_flight >= int(group.concurrency_window)
--- a/message_relay/policy/eligibility.py
+++ b/message_relay/policy/eligibility.py
@@ -5,7 +5,6 @@
 from message_relay.model import EndpointState, Idempotency, KeyScope
 from message_relay.policy import (
     circuit_breaker,
-    concurrency_window,
     outlier_detection,
     rate_limiter,
     recovery_budget,
@@ -21,9 +20,10 @@
 
 
 def endpoint_admits(state: PolicyState, endpoint: Endpoint, fast_retry: bool = False) -> bool:
-    """Whether the endpoint may get a call, if a slot is free; fast_retry: for a message that failed fast."""
+    """Whether the endpoint may get a call, if slots and windows allow; fast_retry: for a fast failure."""
     group, now, circuit = endpoint.group, state.now_us, endpoint.circuit
-    if endpoint.cordoned or endpoint.state is not EndpointState.READY or concurrency_window.is_full(endpoint):
+    out_of_use = endpoint.cordoned or endpoint.state is not EndpointState.READY
+    if out_of_use or len(endpoint.in_flight) >= endpoint.connection_limit:
         return False
     if now < group.retry_after_until_us:
         state.wake(group.retry_after_until_us)
--- a/message_relay/policy/selection.py
+++ b/message_relay/policy/selection.py
@@ -32,12 +32,11 @@
     """The message of a destination that loses most by waiting, and the endpoint for it."""
     if concurrency_window.slots_taken(state, destination):
         return None
-    fast_retry = any(
-        message.fast_retry and message.ready_at_us <= state.now_us for message in destination.queue
-    )
+    fast_retry = _fast_retry_ready(state, destination)
     admitting = [
         endpoint
         for group in destination.groups
+        if not concurrency_window.is_full(group)
         for endpoint in group.endpoints.values()
         if endpoint_admits(state, endpoint, fast_retry)
     ]
@@ -64,6 +63,13 @@
     return best
 
 
+def _fast_retry_ready(state: PolicyState, destination: Destination) -> bool:
+    """Whether a message that failed fast may go again; it matters only where endpoints wait for it."""
+    if not state.large_fleet and all(group.recovery.since_us < 0 for group in destination.groups):
+        return False
+    return any(message.fast_retry and message.ready_at_us <= state.now_us for message in destination.queue)
+
+
 def _loss_by_waiting(state: PolicyState, destination: Destination) -> functools.partial[float]:
     """A function of a message: what it loses by going later, for each time unit that its slot is taken.
 
--- a/message_relay/policy_state.py
+++ b/message_relay/policy_state.py
@@ -257,6 +257,7 @@
     def __init__(self, settings: Settings, seed: int, limits: Limits) -> None:
         self.settings = settings
         self.random = random.Random(seed)
+        self.turn_interval_us = settings.turn_interval_us
         self.large_fleet = limits.large_fleet
         self.max_attempts = limits.max_attempts
         self.destination_limit = limits.destination_limit
@@ -289,7 +290,7 @@
 
     def wake(self, at_us: float) -> None:
         """Have a turn at that time, if none is due before."""
-        at = max(int(at_us), self.now_us + self.settings.turn_interval_us)
+        at = max(int(at_us), self.now_us + self.turn_interval_us)
         if not self.timers or at < self.timers[0]:
             heapq.heappush(self.timers, at)
             self.actions.append(SetTimer(at - self.now_us, 0))
--- a/message_relay/simulator_adapter/frames.py
+++ b/message_relay/simulator_adapter/frames.py
@@ -164,19 +164,21 @@
         raise MalformedFrameError(f"{count} records do not fit a body of {len(body)} bytes")
     view = memoryview(body)
     tail, instance = view[count * EVENT_SIZE :], None
+    instance_code, register_code = int(EventCode.INSTANCE), int(EventCode.REGISTER_LIST)
     for offset in range(0, count * EVENT_SIZE, EVENT_SIZE):
         code = view[offset]
-        if code == EventCode.INSTANCE:
+        if code == instance_code:
             (instance,) = _U16.unpack_from(view, offset)
             continue
-        if code == EventCode.REGISTER_LIST:
+        if code == register_code:
             number, start, entries = _REGISTER.unpack_from(view, offset)
             lists[number] = read_entries(_slice(tail, start, entries * ENTRY_SIZE, "a list"))
             continue
         if instance is None:
             raise MalformedFrameError(f"record {code} before any instance was named")
-        yield instance, _decode(_EVENT_READERS, code, "event code")(view, offset, tail, lists)
-        if code == EventCode.ATTEMPT_ENDED and (report := _load_report(view, offset)):
+        reader = _decode(_EVENT_READERS, code, "event code")
+        yield instance, reader(view, offset, tail, lists)
+        if reader is _read_attempt_ended and (report := _load_report(view, offset)):
             yield instance, report
 
 
