--- a/message_relay/model/events.py
+++ b/message_relay/model/events.py
@@ -45,7 +45,7 @@
     deadline_us: int
     tenant: int = 0
     order_key: int = 0
-    resubmitted: bool = False  # the client had been told to come back with it
+    resubmitted: bool = False  # the client comes back with it after a rejection
     restored: bool = False  # accepted before a restart: it is attempted, not rejected for want of capacity
     # Of a message that is restored, or whose idempotency key is known from an earlier one:
     attempts: int = 0
--- a/message_relay/model/settings.py
+++ b/message_relay/model/settings.py
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What an instance is told when it starts."""
+    """The settings of one instance."""
 
     classes: tuple[MessageClass, ...]
     call_slots: int  # calls that may be in flight at once
@@ -93,7 +93,7 @@
     cancellation_allowed: bool = False
     gossip_allowed: bool = False
     turn_interval_us: int = 1000  # least time between two turns
-    max_retry_after_us: int = 0  # longest Retry-After that clients heed; 0: they are told none
+    max_retry_after_us: int = 0  # longest Retry-After that clients heed; 0: they get none
     clients_mark_retries: bool = False  # MessageSubmitted.resubmitted is filled in
     connection_idle_us: int = 10_000_000  # endpoints close a connection that was idle for so long
     connect_timeout_us: int = 1_000_000
--- a/message_relay/policy/slow_start.py
+++ b/message_relay/policy/slow_start.py
@@ -75,7 +75,7 @@
     circuit, group = endpoint.circuit, endpoint.group
     sharing = 1 if state.large_fleet else group.endpoints_in_use()
     least = MIN_RATE_LARGE_FLEET_PER_S if state.large_fleet else MIN_RATE_PER_S
-    # The warm rate may be from before a limit was told: after a restart in an outage no traffic is known.
+    # The warm rate may be older than the limit: after a restart in an outage no traffic is known.
     warm = max(circuit.warm_rate_per_s, group.advertised_rate_per_s)
     rate = max(factor(state, circuit) * warm / sharing, least)
     circuit.bucket.refill(state.now_us, rate)
--- a/message_relay/server/__init__.py
+++ b/message_relay/server/__init__.py
@@ -1,1 +1,1 @@
-"""The real courier around the decision module: sockets, journal and clock. No decisions here."""
+"""One relay instance: sockets, journal and clock around the policy. No delivery decision is taken here."""
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -40,14 +40,30 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, configuration: RelayConfiguration) -> None:
         self.configuration = configuration
-        settings = self.settings = configuration.settings
+        self.settings = configuration.settings
+        self._loop = loop
+        self._list_received = asyncio.Event()
+        self._create_core()
+        self._create_delivery()
+        self._create_client_side()
+        self._create_discovery()
+        self.transfer = StateTransfer(self)
+        self._connect_parts()
+
+    def _create_core(self) -> None:
+        """The policy, the journal, the events between the parts."""
+        settings, configuration = self.settings, self.configuration
         key_window_s = max(message_class.key_window_us for message_class in settings.classes) / 1e6
         self.policy = DeliveryPolicy(settings, configuration.seed)
         self.journal = Journal(configuration.state_directory, configuration.disk_limit_bytes, key_window_s)
         self.metrics = Metrics([message_class.name for message_class in settings.classes])
-        self.events = EventQueue(loop, settings.turn_interval_us)
+        self.events = EventQueue(self._loop, settings.turn_interval_us)
+        self.answers = FinalAnswers(self._loop, self.journal, self.events, self.metrics)
+
+    def _create_delivery(self) -> None:
+        """Attempts, calls to endpoints, and the directory of endpoints."""
+        settings = self.settings
         self.retry_after = RetryAfterTable(settings.kinds)
-        self.answers = FinalAnswers(loop, self.journal, self.events, self.metrics)
         self.attempts = AttemptRunner(
             settings=settings,
             policy=self.policy,
@@ -58,16 +74,19 @@
             retry_after=self.retry_after,
         )
         self.calls = EndpointCallClient(
-            loop,
+            self._loop,
             self.attempts,
             settings.connection_idle_us,
             settings.connect_timeout_us,
-            int(configuration.max_descriptors * IDLE_CONNECTION_SHARE),
+            int(self.configuration.max_descriptors * IDLE_CONNECTION_SHARE),
         )
-        self.directory = EndpointDirectory(settings, configuration.zones, self.calls, self.retry_after)
+        self.directory = EndpointDirectory(settings, self.configuration.zones, self.calls, self.retry_after)
         self.attempts.calls, self.attempts.directory = self.calls, self.directory
+
+    def _create_client_side(self) -> None:
+        """Submissions, client connections, turns, and the operators' commands."""
         self.submissions = Submissions(
-            settings=settings,
+            settings=self.settings,
             policy=self.policy,
             journal=self.journal,
             events=self.events,
@@ -76,13 +95,12 @@
             answers=self.answers,
             metrics=self.metrics,
         )
+        max_connections = int(self.configuration.max_descriptors * CLIENT_CONNECTION_SHARE)
         self.clients = ClientServer(
-            self.submissions.submit,
-            max(MIN_CLIENT_CONNECTIONS, int(configuration.max_descriptors * CLIENT_CONNECTION_SHARE)),
-            self.unready_reason,
+            self.submissions.submit, max(MIN_CLIENT_CONNECTIONS, max_connections), self.unready_reason
         )
         self.lifecycle = Lifecycle(
-            loop=loop,
+            loop=self._loop,
             events=self.events,
             journal=self.journal,
             clients=self.clients,
@@ -99,7 +117,7 @@
             lifecycle=self.lifecycle,
         )
         self.turns = TurnRunner(
-            loop=loop,
+            loop=self._loop,
             policy=self.policy,
             events=self.events,
             submissions=self.submissions,
@@ -107,17 +125,18 @@
             answers=self.answers,
             calls=self.calls,
         )
-        self.notifier = FinalNotifier(loop, configuration.discovery_address, self._finals_accepted)
+
+    def _create_discovery(self) -> None:
+        """The connections to the discovery service."""
+        address = self.configuration.discovery_address
+        self.notifier = FinalNotifier(self._loop, address, self._finals_accepted)
         self.watch = EndpointWatch(
-            loop,
-            configuration.discovery_address,
-            configuration.known_list.revision,
+            self._loop,
+            address,
+            self.configuration.known_list.revision,
             self._list_changed,
-            settings.instance_count,
+            self.settings.instance_count,
         )
-        self.transfer = StateTransfer(self)
-        self._list_received = asyncio.Event()
-        self._connect_parts()
 
     def _connect_parts(self) -> None:
         self.events.on_turn = self.lifecycle.take_turn = self.turns.run
--- a/message_relay/server/submission.py
+++ b/message_relay/server/submission.py
@@ -105,10 +105,7 @@
         if request.message_id in self.pending_ids:
             self.pending[self.pending_ids[request.message_id]].replies.append(reply)
             return
-        if (
-            request.message_id in self._journal.numbers_by_id
-            or request.message_id in self._journal.finished_ids
-        ):
+        if self._is_known(request.message_id):
             reply.send(replies.OK)  # submitted again on a new connection: it is, or was, taken care of
             return
         open_messages = self._journal.open_count + len(self.pending)
