--- a/message_relay/model/actions.py
+++ b/message_relay/model/actions.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Report TimerFired with this token in the first turn after the delay."""
+    """Report TimerFired with this token in the first tick after the delay."""
 
     delay_us: int
     token: int
--- a/message_relay/model/events.py
+++ b/message_relay/model/events.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListReceived:
-    """The endpoint list or a change of it. A cached list belongs into the first turn."""
+    """The endpoint list or a change of it. A cached list belongs into the first tick."""
 
     form: EndpointListForm
     entries: tuple[EndpointEntry, ...] = ()
--- a/message_relay/model/settings.py
+++ b/message_relay/model/settings.py
@@ -70,7 +70,7 @@
 
     name: str
     independent_endpoints: bool = False  # each endpoint has a rate limit, Retry-After and outages of its own
-    max_batch_size: int = 1  # messages of one turn to one endpoint that may travel as one call
+    max_batch_size: int = 1  # messages of one tick to one endpoint that may travel as one call
 
     def __post_init__(self) -> None:
         _require(self.max_batch_size >= 1, f"kinds.{self.name}.max_batch_size", "1 or more")
@@ -92,7 +92,7 @@
     health_checks_allowed: bool = False
     cancellation_allowed: bool = False
     gossip_allowed: bool = False
-    turn_interval_us: int = 1000  # least time between two turns
+    tick_interval_us: int = 1000  # least time between two ticks
     max_retry_after_us: int = 0  # longest Retry-After that clients heed; 0: they get none
     clients_mark_retries: bool = False  # MessageSubmitted.resubmitted is filled in
     connection_idle_us: int = 10_000_000  # endpoints close a connection that was idle for so long
@@ -123,7 +123,7 @@
             "max_open_messages",
             "instance_count",
             "max_attempts",
-            "turn_interval_us",
+            "tick_interval_us",
         )
         for name in at_least_one:
             _require(getattr(self, name) >= 1, name, "1 or more")
--- a/message_relay/policy/delivery_policy.py
+++ b/message_relay/policy/delivery_policy.py
@@ -1,4 +1,4 @@
-"""The delivery policy of one relay instance: the events of a turn in, its actions out."""
+"""The delivery policy of one relay instance: the events of a tick in, its actions out."""
 
 import functools
 import heapq
@@ -16,11 +16,11 @@
 
 
 class DeliveryPolicy:
-    """Decides for one instance: handle() takes the events of a turn and returns its actions."""
+    """Decides for one instance: handle() takes the events of a tick and returns its actions."""
 
     def __init__(self, settings: model.Settings, seed: int) -> None:
         self.state = PolicyState(settings, seed, derive_limits(settings))
-        # Other events need no decision: a timer that fired has done its work by beginning the turn.
+        # Other events need no decision: a timer that fired has done its work by starting the tick.
         self._handlers: dict[type[model.Event], Callable[[Any], None]] = {
             model.MessageSubmitted: functools.partial(admission.submit, self.state),
             model.AttemptEnded: functools.partial(attempts.record_outcome, self.state),
@@ -34,7 +34,7 @@
         }
 
     def handle(self, now_us: int, events: Iterable[model.Event]) -> list[model.Action]:
-        """Take one turn. now_us is a clock that never goes back; times in events are on the same clock."""
+        """Run one tick. now_us is a clock that never goes back; times in events are on the same clock."""
         state = self.state
         state.now_us, state.actions = now_us, []
         if state.started_at_us < 0:
--- a/message_relay/policy/limits.py
+++ b/message_relay/policy/limits.py
@@ -7,7 +7,7 @@
 LARGE_FLEET_INSTANCES_PER_SLOT = 16
 MAX_ATTEMPTS = 3  # of one message, the first included (the default of the retry design)
 DESTINATION_SLOT_SHARE = 0.75  # calls in flight to one destination stay under this share of the slots
-DEADLINE_MARGIN_TURNS = 3  # turns kept free before a deadline
+DEADLINE_MARGIN_TICKS = 3  # ticks kept free before a deadline
 MIN_LOST_CALL_RATE = 0.002
 
 
@@ -17,6 +17,6 @@
         large_fleet=settings.instance_count > LARGE_FLEET_INSTANCES_PER_SLOT * settings.call_slots,
         max_attempts=min(MAX_ATTEMPTS, settings.max_attempts),
         destination_limit=max(1, int(DESTINATION_SLOT_SHARE * settings.call_slots)),
-        margin_us=DEADLINE_MARGIN_TURNS * settings.turn_interval_us,
+        margin_us=DEADLINE_MARGIN_TICKS * settings.tick_interval_us,
         min_lost_call_rate=MIN_LOST_CALL_RATE,
     )
--- a/message_relay/policy/rate_limiter.py
+++ b/message_relay/policy/rate_limiter.py
@@ -70,7 +70,7 @@
 def record_overload(state: PolicyState, group: EndpointGroup, retry_after_us: int) -> None:
     """A call was rejected for overload: cut the rate, halve the window, heed the wait or back off."""
     if state.now_us >= group.rate_cut_until_us:
-        round_trip_us = max(int(group.latency_mean_us), 2 * state.settings.turn_interval_us)
+        round_trip_us = max(int(group.latency_mean_us), 2 * state.settings.tick_interval_us)
         group.rate_cut_until_us = state.now_us + round_trip_us
         concurrency_window.halve(group)
         _cut(state, group)
--- a/message_relay/policy_state/state.py
+++ b/message_relay/policy_state/state.py
@@ -38,7 +38,7 @@
     def __init__(self, settings: Settings, seed: int, limits: Limits) -> None:
         self.settings = settings
         self.random = random.Random(seed)
-        self.turn_interval_us = settings.turn_interval_us
+        self.tick_interval_us = settings.tick_interval_us
         self.large_fleet = limits.large_fleet
         self.max_attempts = limits.max_attempts
         self.destination_limit = limits.destination_limit
@@ -47,7 +47,7 @@
         self.now_us = 0
         self.started_at_us = -1
         self.shutdown_at_us: float = math.inf  # no call may last beyond it
-        self.actions: list[Action] = []  # of this turn
+        self.actions: list[Action] = []  # of this tick
         self.destinations: dict[int, Destination] = {}
         self.endpoints: dict[int, Endpoint] = {}
         self.messages: dict[int, Message] = {}
@@ -70,8 +70,8 @@
         self.actions.append(LogMessage(text))
 
     def wake(self, at_us: float) -> None:
-        """Have a turn at that time, if none is due before."""
-        at = max(int(at_us), self.now_us + self.turn_interval_us)
+        """Schedule a tick at that time, if none is due before."""
+        at = max(int(at_us), self.now_us + self.tick_interval_us)
         if not self.timers or at < self.timers[0]:
             heapq.heappush(self.timers, at)
             self.actions.append(SetTimer(at - self.now_us, 0))
--- a/message_relay/server/attempt_runner.py
+++ b/message_relay/server/attempt_runner.py
@@ -27,7 +27,7 @@
 from message_relay.server.retry_after import RetryAfterTable
 
 NOT_APPLIED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_ATTEMPTED)
-DEADLINE_MARGIN_TURNS = 2  # a batch member's time-out ends so many turns before its deadline
+DEADLINE_MARGIN_TICKS = 2  # a batch member's time-out ends so many ticks before its deadline
 log = logging.getLogger(__name__)
 
 
@@ -85,7 +85,7 @@
             self._call(action.endpoint, [call_attempt])
 
     def send_batches(self, batches: dict[int, list[CallAttempt]]) -> None:
-        """Start the calls that were gathered in a turn."""
+        """Start the calls that were gathered in a tick."""
         for endpoint, attempts in batches.items():
             size = self.directory.batch_size(endpoint)
             for start in range(0, len(attempts), size):
@@ -107,7 +107,7 @@
         """A batch is one call, waited for as long as its first message may wait: led by one whose time is up
         sooner, it would count as given up while the others are still waited for.
         """
-        messages, margin_us = self._journal.messages, DEADLINE_MARGIN_TURNS * self._settings.turn_interval_us
+        messages, margin_us = self._journal.messages, DEADLINE_MARGIN_TICKS * self._settings.tick_interval_us
         attempts = sorted(attempts, key=lambda attempt: -messages[attempt.message_number].deadline_s)
         longest_us = max(attempt.timeout_us for attempt in attempts)
         longest_new_us = max(attempt.new_connection_timeout_us for attempt in attempts)
--- a/message_relay/server/event_queue.py
+++ b/message_relay/server/event_queue.py
@@ -1,4 +1,4 @@
-"""The events of the next turn, and when that turn is taken."""
+"""The events of the next tick, and when that tick is run."""
 
 from __future__ import annotations
 
@@ -10,46 +10,46 @@
 
 
 class EventQueue:
-    """Gathers events; a turn follows once what came in with them is read, an interval after the last."""
+    """Gathers events; a tick follows once what came in with them is read, an interval after the last."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, turn_interval_us: int) -> None:
-        self.on_turn: Callable[[], None] = lambda: None
+    def __init__(self, loop: asyncio.AbstractEventLoop, tick_interval_us: int) -> None:
+        self.on_tick: Callable[[], None] = lambda: None
         self.paused = False  # another process decides, or is about to
         self._loop = loop
-        self._turn_interval_us = turn_interval_us
+        self._tick_interval_us = tick_interval_us
         self._events: list[Event] = []
         self._scheduled = False
-        self._last_turn_us = -turn_interval_us
+        self._last_tick_us = -tick_interval_us
 
     def __len__(self) -> int:
         return len(self._events)
 
     def add(self, event: Event) -> None:
-        """Queue an event and have a turn."""
+        """Queue an event and schedule a tick."""
         self.add_silently(event)
         self.wake()
 
     def add_silently(self, event: Event) -> None:
-        """Queue an event for a turn that is taken anyway."""
+        """Queue an event for a tick that is run anyway."""
         self._events.append(event)
 
     def wake(self) -> None:
-        """Have a turn, unless one is due."""
+        """Schedule a tick, unless one is scheduled."""
         if self._scheduled or self.paused:
             return
         self._scheduled = True
-        early_us = self._last_turn_us + self._turn_interval_us - clock.monotonic_us()
+        early_us = self._last_tick_us + self._tick_interval_us - clock.monotonic_us()
         if early_us <= 0:
-            self._loop.call_soon(self.on_turn)
+            self._loop.call_soon(self.on_tick)
         else:
-            self._loop.call_later(early_us / 1e6, self.on_turn)
+            self._loop.call_later(early_us / 1e6, self.on_tick)
 
-    def turn_due(self) -> None:
-        """The turn that was asked for is here; another may be asked for."""
+    def tick_due(self) -> None:
+        """The tick that was scheduled is due; another may be scheduled."""
         self._scheduled = False
 
-    def begin_turn(self) -> tuple[int, list[Event]]:
-        """The time of the turn in microseconds, and its events."""
-        self._last_turn_us = clock.monotonic_us()
+    def begin_tick(self) -> tuple[int, list[Event]]:
+        """The time of the tick in microseconds, and its events."""
+        self._last_tick_us = clock.monotonic_us()
         events, self._events = self._events, []
-        return self._last_turn_us, events
+        return self._last_tick_us, events
--- a/message_relay/server/hot_restart/state_transfer.py
+++ b/message_relay/server/hot_restart/state_transfer.py
@@ -28,10 +28,10 @@
 )
 from message_relay.server.journal import Journal
 from message_relay.server.lifecycle import Lifecycle
+from message_relay.server.policy_runner import PolicyRunner
 from message_relay.server.resp.connection import ClientConnection
 from message_relay.server.resp.server import ClientServer
 from message_relay.server.retry_after import RetryAfterScope, RetryAfterTable
-from message_relay.server.turn import TurnRunner
 
 UNKNOWN_ENDPOINT = -1
 log = logging.getLogger(__name__)
@@ -43,7 +43,7 @@
     policy: DeliveryPolicy
     journal: Journal
     events: EventQueue
-    turns: TurnRunner
+    policy_runner: PolicyRunner
     clients: ClientServer
     calls: EndpointCallClient
     attempts: AttemptRunner
@@ -142,9 +142,9 @@
         server.clients.pause()
         # What has come in is answered, but no call begins.
         server.events.add_silently(ShutdownScheduled(clock.monotonic_us()))
-        server.turns.run()
+        server.policy_runner.run()
         server.calls.abandon_unstarted()
-        server.turns.run()
+        server.policy_runner.run()
         server.events.paused = True
         self._observer = ReportingObserver(server.attempts, report)
         server.calls.observer = self._observer
--- a/message_relay/server/lifecycle.py
+++ b/message_relay/server/lifecycle.py
@@ -41,7 +41,7 @@
         self.handed_over = False  # another process serves
         self.closed: asyncio.Future[None] = loop.create_future()
         self.reports_sent: Callable[[], bool] = lambda: True  # whether the new process knows all outcomes
-        self.take_turn: Callable[[], None] = lambda: None
+        self.run_tick: Callable[[], None] = lambda: None
         self._loop = loop
         self._events = events
         self._journal = journal
@@ -162,5 +162,5 @@
             return
         self._clients.read_pending()
         if self._submissions.pending:  # a request that is complete gets its answer before its connection ends
-            self.take_turn()
+            self.run_tick()
         self.closed.set_result(None)
--- a/message_relay/server/turn.py
+++ b/message_relay/server/policy_runner.py
@@ -1,4 +1,4 @@
-"""The turn: the policy acts on a batch of events, and its actions are carried out in order."""
+"""The tick: the policy acts on a batch of events, and its actions are carried out in order."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 log = logging.getLogger(__name__)
 
 
-class TurnRunner:
-    """Takes turns as the event queue asks for them."""
+class PolicyRunner:
+    """Runs the ticks that the event queue schedules."""
 
     def __init__(
         self,
@@ -66,15 +66,15 @@
         }
 
     def run(self) -> None:
-        """Take a turn, unless another process decides."""
-        self._events.turn_due()
+        """Run a tick, unless another process decides."""
+        self._events.tick_due()
         if self._events.paused:
             return
-        now_us, events = self._events.begin_turn()
+        now_us, events = self._events.begin_tick()
         pending = self._submissions.take_pending()
         try:
             actions = self._policy.handle(now_us, events)
-        except Exception:  # one bad turn must not end the process; each message still has its deadline timer
+        except Exception:  # one bad tick must not end the process; each message still has its deadline timer
             log.exception("policy failed: events=%d", len(events))
             actions = [FailMessage(number) for number in pending]
         try:
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -24,10 +24,10 @@
 from message_relay.server.lifecycle import Lifecycle
 from message_relay.server.metrics import Metrics
 from message_relay.server.operations import Operations
+from message_relay.server.policy_runner import PolicyRunner
 from message_relay.server.resp.server import ClientServer
 from message_relay.server.retry_after import RetryAfterTable
 from message_relay.server.submission import Submissions, submitted_event
-from message_relay.server.turn import TurnRunner
 
 # Shares of the limit on open files; the rest is for calls, discovery, the journal and Python itself.
 CLIENT_CONNECTION_SHARE, IDLE_CONNECTION_SHARE = 0.5, 0.2
@@ -57,7 +57,7 @@
         self.policy = DeliveryPolicy(settings, configuration.seed)
         self.journal = Journal(configuration.state_directory, configuration.disk_limit_bytes, key_window_s)
         self.metrics = Metrics([message_class.name for message_class in settings.classes])
-        self.events = EventQueue(self._loop, settings.turn_interval_us)
+        self.events = EventQueue(self._loop, settings.tick_interval_us)
         self.answers = FinalAnswers(self._loop, self.journal, self.events, self.metrics)
 
     def _create_delivery(self) -> None:
@@ -84,7 +84,7 @@
         self.attempts.calls, self.attempts.directory = self.calls, self.directory
 
     def _create_client_side(self) -> None:
-        """Submissions, client connections, turns, and the operators' commands."""
+        """Submissions, client connections, ticks, and the operators' commands."""
         self.submissions = Submissions(
             settings=self.settings,
             policy=self.policy,
@@ -116,7 +116,7 @@
             metrics=self.metrics,
             lifecycle=self.lifecycle,
         )
-        self.turns = TurnRunner(
+        self.policy_runner = PolicyRunner(
             loop=self._loop,
             policy=self.policy,
             events=self.events,
@@ -139,7 +139,7 @@
         )
 
     def _connect_parts(self) -> None:
-        self.events.on_turn = self.lifecycle.take_turn = self.turns.run
+        self.events.on_tick = self.lifecycle.run_tick = self.policy_runner.run
         self.answers.notifier = self.notifier
         self.answers.on_ended = self._message_ended
         self.attempts.on_idle = self.lifecycle.exit_if_done
@@ -170,7 +170,7 @@
         return await self.begin_serving()
 
     async def begin_serving(self, handed_over: HandedOver | None = None) -> int:
-        """Restore, take the first turn, then listen: clients are accepted from here on. Returns the port.
+        """Restore, run the first tick, then listen: clients are accepted from here on. Returns the port.
 
         The journal is this process's. ``handed_over`` is what the old process passed on, where there is one.
         """
@@ -181,7 +181,7 @@
                 self.events.add_silently(EndpointCordoned(self.directory.numbers[uid]))
         for message in list(self.journal.messages.values()):
             self._restore(message, message.number in known)
-        self.turns.run()
+        self.policy_runner.run()
         port = await self._listen(handed_over)
         self.lifecycle.serving = True
         return port
@@ -218,7 +218,7 @@
         if form is not EndpointListForm.CACHED:
             self._list_received.set()
         self.events.add(event)
-        for entry in event.entries:  # in the same turn: the list lifts no cordon, nor does a new number
+        for entry in event.entries:  # in the same tick: the list lifts no cordon, nor does a new number
             if self.directory.uids.get(entry.endpoint) in self.journal.cordoned:
                 self.events.add(EndpointCordoned(entry.endpoint))
 
@@ -254,7 +254,7 @@
 
     def close(self) -> None:
         """Let go of everything at once; the journal already holds what is open."""
-        self.events.paused = True  # a turn that is due would find no journal
+        self.events.paused = True  # a tick that is due would find no journal
         self.watch.stop()
         self.notifier.stop()
         self.calls.close()
--- a/message_relay/server/submission.py
+++ b/message_relay/server/submission.py
@@ -95,7 +95,7 @@
         self._metrics = metrics
 
     def submit(self, request: SubmitRequest, reply: ReplyHandle) -> None:
-        """A client submits a message; it is answered in the turn that follows. InvalidRequestError if it is
+        """A client submits a message; it is answered in the tick that follows. InvalidRequestError if it is
         not a message of this relay's.
         """
         message_class, tenant = self._check(request)
@@ -174,7 +174,7 @@
         self._attempts.cancel(older.number, last_attempt)
 
     def take_pending(self) -> dict[int, PendingSubmission]:
-        """What the policy sees in this turn, by number."""
+        """What the policy sees in this tick, by number."""
         pending, self.pending = self.pending, {}
         self.pending_ids.clear()
         return pending
--- a/message_relay/simulator_adapter/loop.py
+++ b/message_relay/simulator_adapter/loop.py
@@ -31,10 +31,10 @@
         reply = frames.ReplyFrame()
         for instance, events in inbox.items():
             if instance in self.policies:
-                self._take_turn(reply, instance, header.now_us, events)
+                self._run_tick(reply, instance, header.now_us, events)
         return reply.pack(header.sequence)
 
-    def _take_turn(self, reply: frames.ReplyFrame, instance: int, now_us: int, events: list[Event]) -> None:
+    def _run_tick(self, reply: frames.ReplyFrame, instance: int, now_us: int, events: list[Event]) -> None:
         try:
             actions = self.policies[instance].handle(now_us, events)
         except Exception as error:  # the simulator shows the text, whatever went wrong
--- a/message_relay/simulator_adapter/settings_json.py
+++ b/message_relay/simulator_adapter/settings_json.py
@@ -103,7 +103,7 @@
         health_checks_allowed=bool(limits.get("probing", False)),
         cancellation_allowed=bool(limits.get("mayCancel", False)),
         gossip_allowed=bool(limits.get("peers", False)),
-        turn_interval_us=int(raw.get("stepUs", 1000)),
+        tick_interval_us=int(raw.get("stepUs", 1000)),
         max_retry_after_us=int(limits.get("maxRetryAfterUs", 0)) if heeds_retry_after else 0,
         connection_idle_us=int(limits["connIdleUs"]),
         connect_timeout_us=int(limits["connectTimeoutUs"]),
--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -46,20 +46,20 @@
             "kinds": (DestinationKind("k"),),
             "rate_limits_advertised": rate > 0,
             "max_retry_after_us": 2 * SECOND,
-            "turn_interval_us": 5000,
+            "tick_interval_us": 5000,
         }
         settings.update(changes)
         self.policy = DeliveryPolicy(Settings(**settings), 7)
         self.now, self.last_message, self.attempts_sent = 1000 * SECOND, 0, {}
-        self.run_turn(
+        self.run_tick(
             EndpointListReceived(
                 EndpointListForm.CACHED,
                 tuple(EndpointEntry(100 + n, 1, EndpointState.READY, rate) for n in range(endpoints)),
             )
         )
 
-    def run_turn(self, *events, after=0):
-        """One turn, so many microseconds after the last; returns the actions."""
+    def run_tick(self, *events, after=0):
+        """One tick, so many microseconds after the last; returns the actions."""
         self.now += after
         actions = self.policy.handle(self.now, list(events))
         for action in actions:
@@ -68,16 +68,16 @@
         return actions
 
     def submit(self, message_class=0, destination=1, lifetime=None, after=0):
-        """A new message; returns the actions of the turn."""
+        """A new message; returns the actions of the tick."""
         self.last_message += 1
         deadline_us = self.now + after + (lifetime or CLASSES[message_class].deadline_us)
-        return self.run_turn(
+        return self.run_tick(
             MessageSubmitted(self.last_message, message_class, destination, deadline_us), after=after
         )
 
     def end_attempt(self, message, result, latency=100_000, after=100_000, endpoint=100, retry_after=0):
         """The message's latest attempt ends with this result; times are microseconds."""
-        return self.run_turn(
+        return self.run_tick(
             AttemptEnded(
                 message,
                 self.attempts_sent[message],
@@ -91,10 +91,10 @@
         )
 
     def advance(self, seconds, step=0.05):
-        """Empty turns for so long; returns the actions of all."""
+        """Empty ticks for so long; returns the actions of all."""
         actions = []
         for _ in range(round(seconds / step)):
-            actions += self.run_turn(after=int(step * SECOND))
+            actions += self.run_tick(after=int(step * SECOND))
         return actions
 
 
@@ -111,7 +111,7 @@
 
 
 def serve(driver, seconds, result, per_s=10):
-    """Submit messages, end each attempt with the result a turn later; returns the count of attempts."""
+    """Submit messages, end each attempt with the result a tick later; returns the count of attempts."""
     sends, pending = 0, []
     for step in range(round(seconds * 20)):
         actions = []
@@ -120,7 +120,7 @@
         actions += (
             driver.submit(lifetime=SECOND, after=50_000)
             if step * per_s % 20 < per_s
-            else driver.run_turn(after=50_000)
+            else driver.run_tick(after=50_000)
         )
         pending = actions_of(SendAttempt, actions)
         sends += len(pending)
--- a/tests/policy_scenarios.py
+++ b/tests/policy_scenarios.py
@@ -147,7 +147,7 @@
                 attempt = self.attempts.get(message, 0)
                 self.attempts[message] = attempt + 1
                 destination = self.endpoints.get(endpoint, [0])[0]
-                if endpoint not in calls:  # messages of one turn to one endpoint may share their fate
+                if endpoint not in calls:  # messages of one tick to one endpoint may share their fate
                     weights = self.faults.get(destination, HEALTHY)
                     calls[endpoint] = chance.choices(RESULTS, weights)[0], chance.randint(5_000, 400_000)
                 result, latency = calls[endpoint]
@@ -163,7 +163,7 @@
                 self.out[(message, attempt)] = (self.now + latency, endpoint, outcome)
 
     def events(self, step):
-        """What happens in one turn."""
+        """What happens in one tick."""
         chance = self.random
         events = self.due_events()
         if step % 40 == 0:
@@ -198,19 +198,19 @@
 
 
 def play(scenario, seed, create, steps=900):
-    """Every turn's actions, and the state as it is exported half way and at the end.
+    """Every tick's actions, and the state as it is exported half way and at the end.
 
     create(scenario settings, seed) gives an adapter with handle(now, events), export() and
-    replace(snapshot, numbers, seed, now, events): the actions of a new policy's first turn; and inspect():
-    what it says between turns, as a list.
+    replace(snapshot, numbers, seed, now, events): the actions of a new policy's first tick; and inspect():
+    what it says between ticks, as a list.
     """
     world = World(scenario, seed)
     policy = create(world.scenario, seed)
     for destination in (1, 1, 1, 2, 2, 3, 4, 4):
         world.add_endpoint(destination)
-    turns, states = [], []
+    ticks, states = [], []
     first = [] if world.scenario.get("on_request") else [world.complete_list("cached")]
-    turns.append(policy.handle(world.now, first))
+    ticks.append(policy.handle(world.now, first))
     for step in range(steps):
         world.now += world.random.choice((1_000, 10_000, 50_000, 100_000, 300_000))
         if step == steps // 2:
@@ -230,8 +230,8 @@
         else:
             actions = policy.handle(world.now, world.events(step))
         world.take(actions)
-        turns.append(actions)
+        ticks.append(actions)
         if step % 50 == 0:
-            turns.append(policy.inspect())
+            ticks.append(policy.inspect())
     states.append(policy.export())
-    return turns, states
+    return ticks, states
--- a/tests/test_delivery_policy.py
+++ b/tests/test_delivery_policy.py
@@ -28,7 +28,7 @@
 
 def test_draining_endpoint_gets_nothing():
     driver = PolicyDriver(endpoints=2)
-    driver.run_turn(
+    driver.run_tick(
         EndpointListReceived(EndpointListForm.DELTA, (EndpointEntry(100, 1, EndpointState.DRAINING),))
     )
     assert [action.endpoint for action in actions_of(SendAttempt, driver.submit())] == [101]
@@ -50,7 +50,7 @@
 
 def test_short_slots_go_first_to_the_group_that_releases_them_sooner():
     driver = PolicyDriver(call_slots=2)
-    driver.run_turn(
+    driver.run_tick(
         EndpointListReceived(EndpointListForm.DELTA, (EndpointEntry(200, 2, EndpointState.READY),))
     )
     warm_up(driver)
@@ -80,7 +80,7 @@
         driver.submit(message_class)
     sends = actions_of(SendAttempt, driver.end_attempt(1, AttemptResult.OK))
     assert [action.message for action in sends] == [2, 3]  # one call; the window is two wide
-    driver.run_turn(AttemptEnded(2, 0, 100, result, 100_000, message_ended=True), after=100_000)
+    driver.run_tick(AttemptEnded(2, 0, 100, result, 100_000, message_ended=True), after=100_000)
     driver.end_attempt(3, AttemptResult.OK, after=0)
     # The window is three wide after its success.
     assert sum(len(actions_of(SendAttempt, driver.submit())) for _ in range(4)) >= 3
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -105,7 +105,7 @@
         slow_start_share=slow_start_share,
         slow_start_us=12 * SECOND,
         overload_factor=overload_factor,
-        turn_interval_us=5000,
+        tick_interval_us=5000,
     )
     policies = [
         DeliveryPolicy(Settings(instance_index=instance, **settings), instance)
@@ -229,7 +229,7 @@
 
 def test_longest_waiting_messages_of_one_destination_are_rejected_to_make_room():
     driver = PolicyDriver(max_open_messages=10)
-    driver.run_turn(
+    driver.run_tick(
         EndpointListReceived(
             EndpointListForm.DELTA,
             (endpoint_entry(100, state=EndpointState.DRAINING), endpoint_entry(200, destination=2)),
@@ -246,7 +246,7 @@
 def test_replaced_endpoints_leave_no_state_behind(independent):
     driver = large_fleet(kinds=(DestinationKind("k", independent_endpoints=independent),))
     for n in range(3000):
-        driver.run_turn(
+        driver.run_tick(
             EndpointListReceived(
                 EndpointListForm.DELTA,
                 (endpoint_entry(101 + n), endpoint_entry(100 + n, state=EndpointState.REMOVED)),
@@ -260,16 +260,16 @@
 
 def test_endpoint_that_returns_or_moves_starts_with_fresh_state():
     driver = PolicyDriver()
-    driver.run_turn(
+    driver.run_tick(
         EndpointListReceived(EndpointListForm.DELTA, (endpoint_entry(100, state=EndpointState.REMOVED),))
     )
     assert not actions_of(SendAttempt, driver.submit())
     assert actions_of(
         SendAttempt,
-        driver.run_turn(EndpointListReceived(EndpointListForm.DELTA, (endpoint_entry(100),)), after=SECOND),
+        driver.run_tick(EndpointListReceived(EndpointListForm.DELTA, (endpoint_entry(100),)), after=SECOND),
     )
     driver.end_attempt(driver.last_message, AttemptResult.OK)
-    driver.run_turn(EndpointListReceived(EndpointListForm.DELTA, (endpoint_entry(100, destination=2),)))
+    driver.run_tick(EndpointListReceived(EndpointListForm.DELTA, (endpoint_entry(100, destination=2),)))
     assert not actions_of(SendAttempt, driver.submit(destination=1)) and actions_of(
         SendAttempt, driver.submit(destination=2)
     )
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -11,7 +11,7 @@
 
 def test_load_report_without_a_limit_sets_no_rate():
     driver = PolicyDriver(load_report_fields=("x0", "x1"))
-    driver.run_turn(
+    driver.run_tick(
         LoadReportReceived(100, (0.0, 0.0)), LoadReportReceived(100, ()), LoadReportReceived(999, (0.5, 3.0))
     )
     assert driver.policy.state.endpoints[100].group.rate_limit_per_s == 0.0
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize("instance_count, limited", [(2, True), (40, True), (400, False)])
 def test_reported_limit_applies_at_once_where_an_instance_has_a_sizeable_part_of_it(instance_count, limited):
     driver = PolicyDriver(instance_count=instance_count, call_slots=4, load_report_fields=("x0", "x1"))
-    driver.run_turn(LoadReportReceived(100, (0.5, 40.0)))
+    driver.run_tick(LoadReportReceived(100, (0.5, 40.0)))
     group = driver.policy.state.endpoints[100].group
     assert group.advertised_rate_per_s == 40.0 / instance_count and group.rate_limit_per_s == (
         group.advertised_rate_per_s if limited else 0.0
@@ -28,7 +28,7 @@
 
 
 def report_load(driver, remaining, limit, endpoint=100):
-    driver.run_turn(LoadReportReceived(endpoint, (remaining, limit)))
+    driver.run_tick(LoadReportReceived(endpoint, (remaining, limit)))
     return driver.policy.state.endpoints[100].group
 
 
@@ -73,7 +73,7 @@
 )
 def test_load_report_with_missing_or_extra_values_is_read_as_far_as_possible(fields, values):
     driver = mid_size_fleet(load_report_fields=fields)
-    driver.run_turn(LoadReportReceived(100, values))
+    driver.run_tick(LoadReportReceived(100, values))
     group = driver.policy.state.endpoints[100].group
     assert (
         group.advertised_rate_per_s == (2.0 if 80.0 in values else 0.0)
--- a/tests/test_mid_size_fleet.py
+++ b/tests/test_mid_size_fleet.py
@@ -84,7 +84,7 @@
         max_attempts=12,
         load_report_fields=("x0", "x1"),
         instance_count=instance_count,
-        turn_interval_us=5000,
+        tick_interval_us=5000,
     )
     now, counts = 1000 * SECOND, [0, 0]
     policies = [
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -31,7 +31,7 @@
 from message_relay.policy.limits import DESTINATION_SLOT_SHARE
 
 SECOND = 1_000_000
-TURN_US = 5_000
+TICK_US = 5_000
 NOT_APPLIED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_ATTEMPTED)
 
 
@@ -66,7 +66,7 @@
         max_retry_after_us=SECOND,
         order_key_pause_us=SECOND // 2,
         answer_slack_us=20_000,
-        turn_interval_us=TURN_US,
+        tick_interval_us=TICK_US,
         clients_mark_retries=chance.random() < 0.5,
     )
 
@@ -100,7 +100,7 @@
 
     inbox = [EndpointListReceived(EndpointListForm.CACHED, tuple(entry(endpoint) for endpoint in locations))]
     for _ in range(4000):
-        now += TURN_US
+        now += TICK_US
         while timers and min(timers) <= now:
             timers.remove(min(timers))
             inbox.append(TimerFired(0))
@@ -199,7 +199,7 @@
                 calls[action.endpoint] = calls.get(action.endpoint, 0) + 1
             elif isinstance(action, (RejectMessage, FailMessage)):
                 if MessageWithdrawn(action.message) in inbox:
-                    continue  # its end was reported in this very turn
+                    continue  # its end was reported in this very tick
                 message = live.pop(action.message)
                 ended[action.message] = message
                 assert now <= message.deadline_us + settings.answer_slack_us
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -27,12 +27,12 @@
 def test_longest_retry_after_of_a_batched_call_holds():
     driver = PolicyDriver(kinds=(DestinationKind("k", max_batch_size=3),))
     warm_up(driver)
-    driver.run_turn(
+    driver.run_tick(
         EndpointListReceived(EndpointListForm.DELTA, (EndpointEntry(100, 1, EndpointState.DRAINING),))
     )
     driver.submit()
     driver.submit()
-    actions = driver.run_turn(
+    actions = driver.run_tick(
         EndpointListReceived(EndpointListForm.DELTA, (EndpointEntry(100, 1, EndpointState.READY),)),
         after=SECOND,
     )
@@ -78,7 +78,7 @@
     driver.advance(4)
     for n in range(3, 7):
         assert [action.message for action in actions_of(SendAttempt, driver.submit())] == [n]
-        driver.run_turn(
+        driver.run_tick(
             AttemptEnded(n, 0, 100, AttemptResult.NOT_ATTEMPTED, 1000, message_ended=True),
             after=SECOND // 100,
         )
@@ -86,13 +86,13 @@
 
 def sends_in_a_second(driver, limit):
     """How many of twelve more messages are sent within a second after a load report with the limit."""
-    actions, sent = driver.run_turn(LoadReportReceived(100, (0.5, limit)), after=SECOND), 0
+    actions, sent = driver.run_tick(LoadReportReceived(100, (0.5, limit)), after=SECOND), 0
     for _ in range(12):
         actions += driver.submit()
     for _ in range(40):
         sends = actions_of(SendAttempt, actions)
         sent += len(sends)
-        actions = driver.run_turn(
+        actions = driver.run_tick(
             *(AttemptEnded(action.message, 0, 100, AttemptResult.OK, 20_000, True) for action in sends),
             after=SECOND // 40,
         )
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -13,7 +13,7 @@
     said = capsys.readouterr().out.splitlines()
     assert said[0].startswith("send 42 to 1")
     for now in range(100_000, 900_000, 20_000):
-        scope["turn"](now)
+        scope["tick"](now)
     assert capsys.readouterr().out.count("send 42 to 1") + len(said) == 2
 
 
--- a/tests/test_recovery_budget.py
+++ b/tests/test_recovery_budget.py
@@ -50,7 +50,7 @@
             slow_start_us=int(SLOW_START_S * SECOND),
             overload_factor=OVERLOAD_FACTOR,
             overload_window_us=int(OVERLOAD_WINDOW_S * SECOND),
-            turn_interval_us=1000,
+            tick_interval_us=1000,
             max_retry_after_us=3 * SECOND,
             rejected_call_cost=0.1,
             **RATE_SOURCES[rate_source],
--- a/tests/test_restored_messages.py
+++ b/tests/test_restored_messages.py
@@ -14,7 +14,7 @@
 
 
 class Restarted:
-    """A policy whose first turn brings restored messages, while new ones keep coming."""
+    """A policy whose first tick brings restored messages, while new ones keep coming."""
 
     def __init__(
         self, instance_count, message_class, lifetime, latency, result=AttemptResult.OK, retry_after=0
@@ -28,7 +28,7 @@
         restored = (
             MessageSubmitted(n, message_class, 1, deadline_us, restored=True) for n in range(1, RESTORED + 1)
         )
-        self.record(self.driver.run_turn(*restored))
+        self.record(self.driver.run_tick(*restored))
         self.driver.last_message = 1000
 
     def record(self, actions):
@@ -44,7 +44,7 @@
     def run(self, seconds, new_messages=0):
         for step in range(round(seconds * 20)):
             self.driver.now += 50_000
-            self.record(self.driver.run_turn())
+            self.record(self.driver.run_tick())
             for due in [x for x in self.in_flight if x[0] <= self.driver.now]:
                 self.in_flight.remove(due)
                 result, retry_after = self.result, self.retry_after
@@ -89,7 +89,7 @@
 def test_restored_message_with_the_nearest_deadline_goes_first():
     driver = PolicyDriver()
     lifetimes_s = {1: 9, 2: 4, 3: 6}
-    driver.run_turn(
+    driver.run_tick(
         *(MessageSubmitted(n, 0, 1, driver.now + s * SECOND, restored=True) for n, s in lifetimes_s.items())
     )
     driver.end_attempt(2, AttemptResult.OK)
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -18,7 +18,7 @@
 def test_message_is_rejected_as_soon_as_its_key_window_closes():
     driver = PolicyDriver()
     driver.submit(message_class=1)
-    driver.run_turn(
+    driver.run_tick(
         EndpointListReceived(EndpointListForm.DELTA, (EndpointEntry(100, 1, EndpointState.DRAINING),))
     )
     driver.end_attempt(1, AttemptResult.RESET)
@@ -81,7 +81,7 @@
         and actions_of(SendAttempt, driver.advance(4))
     )
     deadline_us = driver.now + 10 * SECOND
-    driver.run_turn(MessageSubmitted(99, 0, 1, deadline_us, resubmitted=True))
+    driver.run_tick(MessageSubmitted(99, 0, 1, deadline_us, resubmitted=True))
     assert actions_of(RejectMessage, driver.end_attempt(1, AttemptResult.REJECTED))
 
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -30,7 +30,7 @@
         ) = False, -1, None, 0.0, 0.0
         driver.submit(message_class=2)
         ok = n % share > 0
-        driver.run_turn(
+        driver.run_tick(
             AttemptEnded(
                 driver.last_message,
                 0,
@@ -76,7 +76,7 @@
         endpoint.ambiguous_failure_rate,
     ) = False, -1, None, 0.0, 0.0
     sent = actions_of(SendAttempt, driver.submit(message_class=2))
-    driver.run_turn(
+    driver.run_tick(
         AttemptEnded(
             driver.last_message,
             0,
@@ -121,18 +121,18 @@
         classes=classes,
         kinds=(DestinationKind("batches", max_batch_size=batch), DestinationKind("single")),
     )
-    driver.run_turn(
+    driver.run_tick(
         EndpointListReceived(
             EndpointListForm.COMPLETE,
             tuple(EndpointEntry(100 * n, n, EndpointState.READY, kind=int(n > 1)) for n in (1, 2, 3)),
         )
     )
     driver.submit(destination=3)
-    driver.run_turn(
+    driver.run_tick(
         MessageSubmitted(50, 3, 2, driver.now + 10 * SECOND),
         *(MessageSubmitted(60 + n, 0, 1, driver.now + 10 * SECOND) for n in range(messages)),
     )
-    actions = driver.run_turn(AttemptEnded(1, 0, 300, AttemptResult.OK, 100_000, True), after=100_000)
+    actions = driver.run_tick(AttemptEnded(1, 0, 300, AttemptResult.OK, 100_000, True), after=100_000)
     return [action.message for action in actions_of(SendAttempt, actions)]
 
 
@@ -147,7 +147,7 @@
 def test_group_with_a_lost_call_gets_a_slot_again_after_a_while():
     def goes_first(pause):
         driver = PolicyDriver(call_slots=1, kinds=(DestinationKind("k"),))
-        driver.run_turn(
+        driver.run_tick(
             EndpointListReceived(
                 EndpointListForm.COMPLETE,
                 tuple(EndpointEntry(100 * n, n, EndpointState.READY) for n in (1, 2, 3)),
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -39,10 +39,10 @@
     assert not driver.policy.state.endpoints[100].circuit.open
 
 
-def sends_answered_with(driver, result, turns):
-    """How many calls go in so many turns of 25 ms with a message each; all end with that result."""
+def sends_answered_with(driver, result, ticks):
+    """How many calls go in so many ticks of 25 ms with a message each; all end with that result."""
     actions, sent, message_ended = [], 0, result is AttemptResult.OK
-    while turns > 0 or actions_of(SendAttempt, actions):  # also the calls of the last turn get their outcome
+    while ticks > 0 or actions_of(SendAttempt, actions):  # also the calls of the last tick get their outcome
         sends = actions_of(SendAttempt, actions)
         sent += len(sends)
         ended = [
@@ -51,8 +51,8 @@
             )
             for action in sends
         ]
-        actions = driver.run_turn(*ended) + (driver.submit(after=SECOND // 40) if turns > 0 else [])
-        turns -= 1
+        actions = driver.run_tick(*ended) + (driver.submit(after=SECOND // 40) if ticks > 0 else [])
+        ticks -= 1
     return sent
 
 
@@ -61,7 +61,7 @@
     # Started in the middle of an outage: half-open attempts only.
     assert 3 < sends_answered_with(driver, AttemptResult.CONNECT_FAILED, 120) < 40
     sends_answered_with(driver, AttemptResult.OK, 120)
-    driver.run_turn(LoadReportReceived(100, (1.0, 40.0)))
+    driver.run_tick(LoadReportReceived(100, (1.0, 40.0)))
     assert driver.policy.state.endpoints[100].circuit.slow_start_since_us >= 0
     # In two seconds, the slow-start share of twenty a second.
     assert 10 < sends_answered_with(driver, AttemptResult.OK, 80) < 40
@@ -87,7 +87,7 @@
     sent = []
     for one_closed in (False, True):
         driver = mid_size_fleet(endpoints=2, call_slots=8)
-        driver.run_turn(
+        driver.run_tick(
             LoadReportReceived(100, (0.9, 40.0 * 4))
         )  # its part is 4 a second, limited no further
         for n in (100, 101):
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -74,7 +74,7 @@
         ),
         instance_count=scenario["instances"],
         max_attempts=scenario["max_attempts"],
-        turn_interval_us=5000,
+        tick_interval_us=5000,
         max_retry_after_us=scenario["retry_after"],
         clients_mark_retries=scenario["clients_mark_retries"],
         slow_start_share=scenario["first_share"],
@@ -170,13 +170,13 @@
 
 @pytest.mark.parametrize("scenario", SCENARIOS)
 def test_decisions_and_exported_state_are_those_of_the_earlier_build(scenario):
-    turns, states = play(scenario, 1, Adapter)
+    ticks, states = play(scenario, 1, Adapter)
     recorded = (
         gzip.decompress((FIXTURES / f"policy-{scenario}.actions.gz").read_bytes()).decode().splitlines()
     )
-    assert len(turns) == len(recorded) > 900
-    for number, (turn, line) in enumerate(zip(turns, recorded, strict=True)):
-        assert turn == json.loads(line), f"turn {number}"
+    assert len(ticks) == len(recorded) > 900
+    for number, (tick, line) in enumerate(zip(ticks, recorded, strict=True)):
+        assert tick == json.loads(line), f"tick {number}"
     for number, exported in enumerate(states, 1):
         assert exported == (FIXTURES / f"policy-{scenario}.{number}.msgpack").read_bytes()
 
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -39,7 +39,7 @@
 
 def test_non_idempotent_call_may_take_its_latency_objective_unless_slots_are_short():
     driver = PolicyDriver(endpoints=1, call_slots=4)
-    driver.run_turn(
+    driver.run_tick(
         EndpointListReceived(EndpointListForm.DELTA, (EndpointEntry(200, 2, EndpointState.READY),))
     )
     for _ in range(8):  # both answer within 100 ms
--- a/tests/test_wide_lists.py
+++ b/tests/test_wide_lists.py
@@ -55,7 +55,7 @@
             started_s = time.process_time()
             for piece in form(targets()):
                 relay.watch.body_received(piece)
-            relay.turns.run()
+            relay.policy_runner.run()
             took_s = time.process_time() - started_s
             listed = [
                 e
@@ -66,7 +66,7 @@
             assert len(relay.policy.state.endpoints) >= ENDPOINT_COUNT
             for piece in form(targets("terminating")):
                 relay.watch.body_received(piece)
-            relay.turns.run()
+            relay.policy_runner.run()
             assert not [
                 endpoint
                 for endpoint in relay.policy.state.endpoints.values()
