--- a/message_relay/policy/circuit_breaker.py
+++ b/message_relay/policy/circuit_breaker.py
@@ -79,6 +79,6 @@
     if state.large_fleet:
         return circuit.bucket.tokens >= 1.0 or fast_retry
     if state.now_us < circuit.half_open_at_us:
-        state.wake(circuit.half_open_at_us)
+        state.schedule_tick(circuit.half_open_at_us)
         return False
     return True
--- a/message_relay/policy/delivery_policy.py
+++ b/message_relay/policy/delivery_policy.py
@@ -50,7 +50,7 @@
         attempts.dispatch(state)
         admission.shed_load(state)
         if state.expiries:
-            state.wake(state.expiries[0][0])
+            state.schedule_tick(state.expiries[0][0])
         return state.actions
 
     def avoided_endpoints(self) -> list[int]:
--- a/message_relay/policy/eligibility.py
+++ b/message_relay/policy/eligibility.py
@@ -26,19 +26,21 @@
     if out_of_use or len(endpoint.in_flight) >= endpoint.connection_limit:
         return False
     if now < group.retry_after_until_us:
-        state.wake(group.retry_after_until_us)
+        state.schedule_tick(group.retry_after_until_us)
         return False
     limited = group.recovery.since_us >= 0
     if limited and (wait_us := recovery_budget.wait_us(state, group)) and not fast_retry:
-        state.wake(now + wait_us)
+        state.schedule_tick(now + wait_us)
         return False
     if circuit.open and not circuit_breaker.admits_half_open(state, circuit, fast_retry):
         return False
     if circuit.slow_start_since_us >= 0 and (wait_us := slow_start.wait_us(state, endpoint)):
-        state.wake(now + wait_us)
+        state.schedule_tick(now + wait_us)
         return False
     if group.rate_limit_per_s and rate_limiter.tokens(state, group) < 1.0:
-        state.wake(max(now, group.bucket.updated_at_us) + group.bucket.wait_us(group.rate_limit_per_s))
+        state.schedule_tick(
+            max(now, group.bucket.updated_at_us) + group.bucket.wait_us(group.rate_limit_per_s)
+        )
         return False
     return True
 
@@ -52,7 +54,7 @@
     if message.closed or message.in_flight or message.attempts >= state.max_attempts or left_us <= 0:
         return False
     if state.now_us < message.ready_at_us:
-        state.wake(message.ready_at_us)
+        state.schedule_tick(message.ready_at_us)
         return False
     unpaid = state.large_fleet and circuit.open and circuit.bucket.tokens < 1.0
     if not message.fast_retry and (unpaid or recovery_budget.wait_us(state, group)):
@@ -77,7 +79,7 @@
     pause_until_us = state.order_pauses.get(message.order_key, 0)
     paused = message.attempts == 0 and state.now_us < pause_until_us
     if paused:
-        state.wake(pause_until_us)
+        state.schedule_tick(pause_until_us)
     return not paused and state.order_queues[message.order_key][0] is message
 
 
@@ -88,5 +90,5 @@
     calm = outlier_detection.ambiguous_failure_rate(state, endpoint) <= AMBIGUOUS_FAILURE_LIMIT
     if calm or left_us <= ROUND_TRIPS_TO_WAIT * endpoint.group.latency_mean_us:
         return False
-    state.wake(state.now_us + AMBIGUOUS_FAILURE_WAIT_US)
+    state.schedule_tick(state.now_us + AMBIGUOUS_FAILURE_WAIT_US)
     return True
--- a/message_relay/policy_state/state.py
+++ b/message_relay/policy_state/state.py
@@ -69,7 +69,7 @@
         """Have the server log a line."""
         self.actions.append(LogMessage(text))
 
-    def wake(self, at_us: float) -> None:
+    def schedule_tick(self, at_us: float) -> None:
         """Schedule a tick at that time, if none is due before."""
         at = max(int(at_us), self.now_us + self.tick_interval_us)
         if not self.timers or at < self.timers[0]:
--- a/message_relay/server/event_queue.py
+++ b/message_relay/server/event_queue.py
@@ -26,14 +26,14 @@
 
     def add(self, event: Event) -> None:
         """Queue an event and schedule a tick."""
-        self.add_silently(event)
-        self.wake()
+        self.add_without_tick(event)
+        self.schedule_tick()
 
-    def add_silently(self, event: Event) -> None:
+    def add_without_tick(self, event: Event) -> None:
         """Queue an event for a tick that is run anyway."""
         self._events.append(event)
 
-    def wake(self) -> None:
+    def schedule_tick(self) -> None:
         """Schedule a tick, unless one is scheduled."""
         if self._scheduled or self.paused:
             return
--- a/message_relay/server/hot_restart/state_transfer.py
+++ b/message_relay/server/hot_restart/state_transfer.py
@@ -141,7 +141,7 @@
         server = self._server
         server.clients.pause()
         # What has come in is answered, but no call begins.
-        server.events.add_silently(ShutdownScheduled(clock.monotonic_us()))
+        server.events.add_without_tick(ShutdownScheduled(clock.monotonic_us()))
         server.policy_runner.run()
         server.calls.abandon_unstarted()
         server.policy_runner.run()
@@ -227,7 +227,7 @@
         for call in state.calls:
             for attempt in call.attempts:
                 self._imported_calls[attempt] = self._endpoint_numbers[call.endpoint]
-        server.events.add_silently(StateImported(state.policy, self._endpoint_numbers))
+        server.events.add_without_tick(StateImported(state.policy, self._endpoint_numbers))
         return frozenset(state.policy.attempts)
 
     def _map_endpoints(self, uids: dict[int, str]) -> None:
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -178,7 +178,7 @@
         known = self.transfer.import_state(handed_over.state) if handed_over else frozenset()
         for uid in self.journal.cordoned:
             if uid in self.directory.numbers:
-                self.events.add_silently(EndpointCordoned(self.directory.numbers[uid]))
+                self.events.add_without_tick(EndpointCordoned(self.directory.numbers[uid]))
         for message in list(self.journal.messages.values()):
             self._restore(message, message.number in known)
         self.policy_runner.run()
@@ -191,7 +191,7 @@
             self.answers.notify(message.number, message.id, message.final_status, message.retry_after_ms)
             return
         if not known:
-            self.events.add_silently(submitted_event(message, restored=True))
+            self.events.add_without_tick(submitted_event(message, restored=True))
         self.answers.watch_deadline(message)
 
     async def _listen(self, handed_over: HandedOver | None) -> int:
