--- a/message_relay/model/__init__.py
+++ b/message_relay/model/__init__.py
@@ -37,7 +37,7 @@
     StateImported,
     TimerFired,
 )
-from message_relay.model.settings import DestinationKind, MessageClass, Settings, Tenant
+from message_relay.model.settings import DestinationType, MessageClass, Settings, Tenant
 
 __all__ = [
     "Action",
@@ -46,7 +46,7 @@
     "CancelAttempt",
     "CheckEndpointHealth",
     "CloseIdleConnections",
-    "DestinationKind",
+    "DestinationType",
     "EndpointCordoned",
     "EndpointEntry",
     "EndpointListForm",
--- a/message_relay/model/events.py
+++ b/message_relay/model/events.py
@@ -23,7 +23,7 @@
     destination: int
     state: EndpointState
     rate_limit_per_s: float = 0.0  # calls of all instances together, where rate limits are advertised
-    kind: int = 0
+    type_index: int = 0
     zone: int = 0
 
 
--- a/message_relay/model/settings.py
+++ b/message_relay/model/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one relay instance: message classes, destination kinds, tenants, limits.
+"""Settings of one relay instance: message classes, destination types, tenants, limits.
 
 Times ending in ``_us`` are microseconds, rates ending in ``_per_s`` are a second. A value out of its range
 raises ``ValueError`` with the name of the field and what is allowed.
@@ -65,15 +65,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DestinationKind:
-    """What destinations of one kind have in common."""
+class DestinationType:
+    """What destinations of one type have in common."""
 
     name: str
     independent_endpoints: bool = False  # each endpoint has a rate limit, Retry-After and outages of its own
     max_batch_size: int = 1  # messages of one tick to one endpoint that may travel as one call
 
     def __post_init__(self) -> None:
-        _require(self.max_batch_size >= 1, f"kinds.{self.name}.max_batch_size", "1 or more")
+        _require(self.max_batch_size >= 1, f"destination_types.{self.name}.max_batch_size", "1 or more")
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
     classes: tuple[MessageClass, ...]
     call_slots: int  # calls that may be in flight at once
     max_open_messages: int  # messages that may be open at once, sent or not
-    kinds: tuple[DestinationKind, ...] = (DestinationKind("any"),)
+    destination_types: tuple[DestinationType, ...] = (DestinationType("any"),)
     tenants: tuple[Tenant, ...] = ()
     instance_count: int = 1  # instances that share the traffic
     instance_index: int = 0
@@ -117,7 +117,7 @@
     def __post_init__(self) -> None:
         _require_times(self, "")
         _require(len(self.classes) > 0, "classes", "at least one class")
-        _require(len(self.kinds) > 0, "kinds", "at least one kind")
+        _require(len(self.destination_types) > 0, "destination_types", "at least one destination type")
         at_least_one = (
             "call_slots",
             "max_open_messages",
--- a/message_relay/policy/admission.py
+++ b/message_relay/policy/admission.py
@@ -76,7 +76,7 @@
         rate = sum(group.rate_limit_per_s for group in groups)
         ahead = len(destination.queue) - sum(rate_limiter.tokens(state, group) for group in groups)
         return float(ahead / rate * 1e6 > MAX_QUEUE_SHARE * left_us)
-    lent = state.statistics.rejection_rates[destination.kind] ** 2  # to groups that had no calls yet
+    lent = state.statistics.rejection_rates[destination.type_index] ** 2  # to groups that had no calls yet
     shares = [
         group.rejection_rate if group.rejection_rate or group.last_success_at_us else lent
         for group in groups
--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -27,7 +27,7 @@
         candidate = selected.pop(number)
         _send_call(state, candidate.message, candidate.endpoint)
         destination = state.destinations[number]
-        single = state.settings.kinds[destination.kind].max_batch_size == 1
+        single = state.settings.destination_types[destination.type_index].max_batch_size == 1
         if destination.queue and single and (following := selection.select(state, destination)):
             selected[number] = following
 
--- a/message_relay/policy/rate_limiter.py
+++ b/message_relay/policy/rate_limiter.py
@@ -7,7 +7,7 @@
 from message_relay.policy_state import EndpointGroup, PolicyState
 
 REJECTION_MEMORY = 0.5  # weight of the newest call in the share of rejected ones, of a group
-KIND_REJECTION_MEMORY = 1 / 16  # and of a kind of destination
+TYPE_REJECTION_MEMORY = 1 / 16  # and of a destination type
 BURST_S, COSTLY_BURST_S = 0.8, 0.4  # seconds of its rate that a bucket holds; less where rejected calls cost
 OVERLOAD_CUT = 0.75  # on overload the rate shrinks to this share, once a round trip
 GROWTH = 0.1  # and a success adds this share of the advertised (or first learned) rate
@@ -99,15 +99,15 @@
 def record_rejection(state: PolicyState, group: EndpointGroup) -> None:
     """Count a rejection in the shares of rejected calls."""
     group.rejection_rate += (1 - group.rejection_rate) * REJECTION_MEMORY
-    rates, kind = state.statistics.rejection_rates, group.destination.kind
-    rates[kind] += (1 - rates[kind]) * KIND_REJECTION_MEMORY
+    rates, type_index = state.statistics.rejection_rates, group.destination.type_index
+    rates[type_index] += (1 - rates[type_index]) * TYPE_REJECTION_MEMORY
 
 
 def record_success(state: PolicyState, group: EndpointGroup) -> None:
     """Count a success in the shares of rejected calls."""
     group.consecutive_rejections = 0
     group.rejection_rate *= 1 - REJECTION_MEMORY
-    state.statistics.rejection_rates[group.destination.kind] *= 1 - KIND_REJECTION_MEMORY
+    state.statistics.rejection_rates[group.destination.type_index] *= 1 - TYPE_REJECTION_MEMORY
 
 
 def grow(state: PolicyState, group: EndpointGroup) -> None:
--- a/message_relay/policy/selection.py
+++ b/message_relay/policy/selection.py
@@ -52,7 +52,7 @@
                 best = Candidate(
                     order, message, min(fit, key=functools.partial(_endpoint_rank, state, message))
                 )
-    batch_size = state.settings.kinds[destination.kind].max_batch_size
+    batch_size = state.settings.destination_types[destination.type_index].max_batch_size
     if best is None or batch_size == 1:
         return best
     # What travels with it takes no slot more: ranked as one message, ten in it waited for ten calls. A batch
@@ -108,7 +108,11 @@
 def batch_companions(state: PolicyState, message: Message, endpoint: Endpoint) -> list[Message]:
     """The messages that travel in one call with this one, in the order of arrival."""
     destination = endpoint.group.destination
-    most = 0 if endpoint.circuit.open else state.settings.kinds[destination.kind].max_batch_size - 1
+    most = (
+        0
+        if endpoint.circuit.open
+        else state.settings.destination_types[destination.type_index].max_batch_size - 1
+    )
     if not most:
         return []
     others = (other for other in destination.queue if other is not message)
--- a/message_relay/policy_snapshot/snapshots.py
+++ b/message_relay/policy_snapshot/snapshots.py
@@ -77,7 +77,7 @@
     """A destination and its groups."""
 
     number: int
-    kind: int
+    type_index: int
     arrivals: int
     groups: list[GroupSnapshot]
 
@@ -129,7 +129,7 @@
             "courier": self.instance.instance_values(),
             "health": self.instance.statistics_values(),
             "dests": [
-                [d.number, d.kind, d.arrivals, [[g.endpoints, g.values] for g in d.groups]]
+                [d.number, d.type_index, d.arrivals, [[g.endpoints, g.values] for g in d.groups]]
                 for d in self.destinations
             ],
             "endpoints": [[e.id, e.destination, e.zone, e.values, e.circuit] for e in self.endpoints],
@@ -147,8 +147,8 @@
             attempts=wire["tries"],
             instance=InstanceSnapshot.from_values(wire["courier"], wire["health"]),
             destinations=[
-                DestinationSnapshot(number, kind, arrivals, [GroupSnapshot(*group) for group in groups])
-                for number, kind, arrivals, groups in wire["dests"]
+                DestinationSnapshot(number, type_index, arrivals, [GroupSnapshot(*group) for group in groups])
+                for number, type_index, arrivals, groups in wire["dests"]
             ],
             endpoints=[EndpointSnapshot(*values) for values in wire["endpoints"]],
             messages=[MessageSnapshot(*values) for values in wire["messages"]],
--- a/message_relay/policy_snapshot/transfer.py
+++ b/message_relay/policy_snapshot/transfer.py
@@ -47,7 +47,7 @@
 
 def _capture_destination(destination: Destination) -> DestinationSnapshot:
     groups = [GroupSnapshot(list(group.endpoints), group_values(group)) for group in destination.groups]
-    return DestinationSnapshot(destination.number, destination.kind, destination.arrivals, groups)
+    return DestinationSnapshot(destination.number, destination.type_index, destination.arrivals, groups)
 
 
 def _capture_endpoint(endpoint: Endpoint) -> EndpointSnapshot:
@@ -86,10 +86,12 @@
 def restore(state: PolicyState, snapshot: PolicySnapshot, endpoints: dict[int, int]) -> None:
     """Go on with what another process began. ``endpoints`` maps its endpoint numbers to those of this one."""
     _restore_instance(state, snapshot.instance)
-    kinds = {d.number: min(d.kind, len(state.settings.kinds) - 1) for d in snapshot.destinations}
-    _restore_endpoints(state, snapshot, endpoints, kinds)
+    type_indexes = {
+        d.number: min(d.type_index, len(state.settings.destination_types) - 1) for d in snapshot.destinations
+    }
+    _restore_endpoints(state, snapshot, endpoints, type_indexes)
     for destination in snapshot.destinations:
-        _restore_destination(state, destination, endpoints, kinds[destination.number])
+        _restore_destination(state, destination, endpoints, type_indexes[destination.number])
     for message in snapshot.messages:
         _restore_one_message(state, message, endpoints)
     for call in snapshot.calls:
@@ -109,14 +111,14 @@
 
 
 def _restore_endpoints(
-    state: PolicyState, snapshot: PolicySnapshot, endpoints: dict[int, int], kinds: dict[int, int]
+    state: PolicyState, snapshot: PolicySnapshot, endpoints: dict[int, int], type_indexes: dict[int, int]
 ) -> None:
     busy = {call.endpoint for call in snapshot.calls}
     for own in snapshot.endpoints:
         endpoint = state.endpoints.get(endpoints[own.id])
         if endpoint is None and own.id in busy:  # listed no more, but a call is still in flight there
-            kind, removed = kinds[own.destination], EndpointState.REMOVED
-            entry = EndpointEntry(endpoints[own.id], own.destination, removed, 0.0, kind, own.zone)
+            type_index, removed = type_indexes[own.destination], EndpointState.REMOVED
+            entry = EndpointEntry(endpoints[own.id], own.destination, removed, 0.0, type_index, own.zone)
             endpoint = state.add_endpoint(entry)
             endpoint.state = removed
         if endpoint is not None:
@@ -125,16 +127,16 @@
 
 
 def _restore_destination(
-    state: PolicyState, own: DestinationSnapshot, endpoints: dict[int, int], kind: int
+    state: PolicyState, own: DestinationSnapshot, endpoints: dict[int, int], type_index: int
 ) -> None:
     destination = state.destination(own.number)
-    destination.kind, destination.arrivals = kind, own.arrivals
+    destination.type_index, destination.arrivals = type_index, own.arrivals
     for group in own.groups:
         numbers = [endpoints.get(number, 0) for number in group.endpoints]
         known = [state.endpoints[number] for number in numbers if number in state.endpoints]
         if not destination.groups:  # its Retry-After holds for endpoints that are yet to come
             state.add_group(destination)
-        if known or not state.settings.kinds[kind].independent_endpoints:
+        if known or not state.settings.destination_types[type_index].independent_endpoints:
             restore_group(known[0].group if known else destination.groups[0], group.values)
 
 
--- a/message_relay/policy_state/entities.py
+++ b/message_relay/policy_state/entities.py
@@ -1,7 +1,7 @@
 """What the policy knows of messages, calls, endpoints, endpoint groups and destinations: data, no decisions.
 
 Times are microseconds, rates are a second. An endpoint group is what shares one rate limit: a destination, or
-one endpoint of it where the kind of destination says that its endpoints are independent. The objects refer to
+one endpoint of it where the destination type says that its endpoints are independent. The objects refer to
 one another: they are compared by identity and have no repr of their own.
 """
 
@@ -123,7 +123,7 @@
     """Where messages go: its endpoint groups and the messages that wait for it."""
 
     number: int
-    kind: int = 0
+    type_index: int = 0
     groups: list[EndpointGroup] = field(default_factory=list)
     queue: list[Message] = field(default_factory=list)
     in_flight: int = 0
@@ -219,7 +219,7 @@
     """What the calls to all endpoints showed."""
 
     idle_reuse_limit_us: int  # idle connections are reused up to this age
-    rejection_rates: list[float]  # by kind of destination
+    rejection_rates: list[float]  # by destination type
     lost_call_rate: float  # share of calls that are never answered though others are
     lost_idle_calls: int = 0  # calls lost on idle connections
     slot_occupancy_us: float = INITIAL_SLOT_OCCUPANCY_US
--- a/message_relay/policy_state/state.py
+++ b/message_relay/policy_state/state.py
@@ -62,7 +62,7 @@
         self.capacity_full = False
         self.unreturned_rejections = 0  # since one came back
         self.statistics = CallStatistics(
-            settings.connection_idle_us, [0.0] * len(settings.kinds), limits.min_lost_call_rate
+            settings.connection_idle_us, [0.0] * len(settings.destination_types), limits.min_lost_call_rate
         )
 
     def log(self, text: str) -> None:
@@ -101,10 +101,13 @@
         return group
 
     def add_endpoint(self, entry: EndpointEntry) -> Endpoint:
-        """A new endpoint, in the group that its destination's kind says."""
+        """A new endpoint, in the group that its destination's type says."""
         destination = self.destination(entry.destination)
-        destination.kind = min(entry.kind, len(self.settings.kinds) - 1)
-        if not destination.groups or self.settings.kinds[destination.kind].independent_endpoints:
+        destination.type_index = min(entry.type_index, len(self.settings.destination_types) - 1)
+        if (
+            not destination.groups
+            or self.settings.destination_types[destination.type_index].independent_endpoints
+        ):
             self.add_group(destination)
         group = destination.groups[-1]
         circuit = group.shared_circuit or CircuitBreaker()
--- a/message_relay/server/endpoint_directory.py
+++ b/message_relay/server/endpoint_directory.py
@@ -37,8 +37,11 @@
         # Destinations that ever stood in a list: their endpoints may only be gone for now.
         self.destinations: set[int] = set()
         self._last_number = 0
-        self._kinds = settings.kinds
-        self._kind_numbers = {kind.name: number for number, kind in enumerate(settings.kinds)}
+        self._destination_types = settings.destination_types
+        self._type_indexes = {
+            destination_type.name: number
+            for number, destination_type in enumerate(settings.destination_types)
+        }
         self._zone_numbers = {zone: number for number, zone in enumerate(zones)}
         self._calls = calls
         self._retry_after = retry_after
@@ -78,7 +81,7 @@
             int(target["pod_group"]),
             STATES[target["state"]],
             float(target.get("capacity_hint") or 0.0),
-            self._kind_numbers.get(target.get("model", ""), 0),
+            self._type_indexes.get(target.get("model", ""), 0),
             self._zone_numbers.get(target.get("az", ""), 0),
         )
         return entry, parse_address(target["endpoint"], "endpoint")
@@ -98,7 +101,11 @@
     def batch_size(self, number: int) -> int:
         """Messages that may travel to the endpoint in one call."""
         entry = self.entries.get(number)
-        return self._kinds[min(entry.kind, len(self._kinds) - 1)].max_batch_size if entry else 1
+        return (
+            self._destination_types[min(entry.type_index, len(self._destination_types) - 1)].max_batch_size
+            if entry
+            else 1
+        )
 
     def zone(self, number: int) -> int:
         """The endpoint's zone, -1 if it is not listed."""
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -63,7 +63,7 @@
     def _create_delivery(self) -> None:
         """Attempts, calls to endpoints, and the directory of endpoints."""
         settings = self.settings
-        self.retry_after = RetryAfterTable(settings.kinds)
+        self.retry_after = RetryAfterTable(settings.destination_types)
         self.attempts = AttemptRunner(
             settings=settings,
             policy=self.policy,
--- a/message_relay/server/retry_after.py
+++ b/message_relay/server/retry_after.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from message_relay.model import DestinationKind, EndpointEntry
+from message_relay.model import DestinationType, EndpointEntry
 from message_relay.server import clock
 
 ANY_ENDPOINT = -1
@@ -20,8 +20,8 @@
 class RetryAfterTable:
     """When each wait ends, in monotonic microseconds."""
 
-    def __init__(self, kinds: tuple[DestinationKind, ...]) -> None:
-        self._kinds = kinds
+    def __init__(self, destination_types: tuple[DestinationType, ...]) -> None:
+        self._destination_types = destination_types
         self._until_us: dict[RetryAfterScope, int] = {}
 
     def __len__(self) -> int:
@@ -42,8 +42,8 @@
         self._until_us.pop(RetryAfterScope(entry.destination, entry.endpoint), None)
 
     def _scope(self, entry: EndpointEntry) -> RetryAfterScope:
-        kind = self._kinds[min(entry.kind, len(self._kinds) - 1)]
-        endpoint = entry.endpoint if kind.independent_endpoints else ANY_ENDPOINT
+        destination_type = self._destination_types[min(entry.type_index, len(self._destination_types) - 1)]
+        endpoint = entry.endpoint if destination_type.independent_endpoints else ANY_ENDPOINT
         return RetryAfterScope(entry.destination, endpoint)
 
     def export_waits(self) -> list[tuple[RetryAfterScope, int]]:
--- a/message_relay/simulator_adapter/frames.py
+++ b/message_relay/simulator_adapter/frames.py
@@ -151,10 +151,12 @@
             destination,
             _decode(ENDPOINT_STATES, state, "endpoint condition"),
             rate_limit_per_s,
-            kind,
+            type_index,
             zone,
         )
-        for address, port, destination, state, rate_limit_per_s, _, kind, zone in _ENTRY.iter_unpack(data)
+        for address, port, destination, state, rate_limit_per_s, _, type_index, zone in _ENTRY.iter_unpack(
+            data
+        )
     )
 
 
--- a/message_relay/simulator_adapter/settings_json.py
+++ b/message_relay/simulator_adapter/settings_json.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import Any, TypeVar
 
-from message_relay.model import DestinationKind, Idempotency, KeyScope, MessageClass, Settings, Tenant
+from message_relay.model import DestinationType, Idempotency, KeyScope, MessageClass, Settings, Tenant
 
 Value = TypeVar("Value")
 IDEMPOTENCY = {
@@ -66,10 +66,10 @@
     )
 
 
-def _kinds(raw: dict[str, Any], family: dict[str, Any]) -> tuple[DestinationKind, ...]:
+def _destination_types(raw: dict[str, Any], family: dict[str, Any]) -> tuple[DestinationType, ...]:
     independent, batch_sizes = family.get("kindApart", []), family.get("kindBatch", [])
     return tuple(
-        DestinationKind(
+        DestinationType(
             name,
             bool(independent[number]) if number < len(independent) else False,
             int(batch_sizes[number]) if number < len(batch_sizes) else 1,
@@ -92,7 +92,7 @@
     heeds_retry_after = limits.get("retryAfter", False)
     return Settings(
         classes=tuple(_message_class(item, number) for number, item in enumerate(raw["classes"])),
-        kinds=_kinds(raw, family),
+        destination_types=_destination_types(raw, family),
         tenants=_tenants(raw),
         call_slots=int(family["maxCalls"]),
         max_open_messages=int(limits["maxOpen"]),
--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -3,7 +3,7 @@
 from message_relay.model import (
     AttemptEnded,
     AttemptResult,
-    DestinationKind,
+    DestinationType,
     EndpointEntry,
     EndpointListForm,
     EndpointListReceived,
@@ -43,7 +43,7 @@
             "call_slots": 8,
             "max_open_messages": 100,
             "max_attempts": 12,
-            "kinds": (DestinationKind("k"),),
+            "destination_types": (DestinationType("k"),),
             "rate_limits_advertised": rate > 0,
             "max_retry_after_us": 2 * SECOND,
             "tick_interval_us": 5000,
--- a/tests/test_delivery_policy.py
+++ b/tests/test_delivery_policy.py
@@ -6,7 +6,7 @@
 from message_relay.model import (
     AttemptEnded,
     AttemptResult,
-    DestinationKind,
+    DestinationType,
     EndpointEntry,
     EndpointListForm,
     EndpointListReceived,
@@ -74,7 +74,7 @@
     "result", [AttemptResult.NOT_ATTEMPTED, AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED]
 )
 def test_batch_is_not_judged_by_a_message_that_ended_by_itself(result):
-    driver = PolicyDriver(kinds=(DestinationKind("k", max_batch_size=2),))
+    driver = PolicyDriver(destination_types=(DestinationType("k", max_batch_size=2),))
     driver.submit()
     for message_class in (0, 0):
         driver.submit(message_class)
@@ -87,7 +87,7 @@
 
 
 def test_batch_that_is_lost_completely_counts_as_a_failure():
-    driver = PolicyDriver(kinds=(DestinationKind("k", max_batch_size=2),))
+    driver = PolicyDriver(destination_types=(DestinationType("k", max_batch_size=2),))
     driver.submit()
     for _ in range(2):
         driver.submit()
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -7,7 +7,7 @@
     AttemptEnded,
     AttemptResult,
     CloseIdleConnections,
-    DestinationKind,
+    DestinationType,
     EndpointListForm,
     EndpointListReceived,
     EndpointState,
@@ -180,7 +180,7 @@
                 max_open_messages=50,
                 instance_count=100,
                 rate_limits_advertised=True,
-                kinds=(DestinationKind("k", independent_endpoints=True),),
+                destination_types=(DestinationType("k", independent_endpoints=True),),
                 zone_costs=(0.1,),
             ),
             seed,
@@ -244,7 +244,7 @@
 
 @pytest.mark.parametrize("independent", [False, True])
 def test_replaced_endpoints_leave_no_state_behind(independent):
-    driver = large_fleet(kinds=(DestinationKind("k", independent_endpoints=independent),))
+    driver = large_fleet(destination_types=(DestinationType("k", independent_endpoints=independent),))
     for n in range(3000):
         driver.run_tick(
             EndpointListReceived(
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -9,7 +9,7 @@
 from message_relay.model import (
     AttemptEnded,
     AttemptResult,
-    DestinationKind,
+    DestinationType,
     EndpointEntry,
     EndpointListForm,
     EndpointListReceived,
@@ -55,7 +55,10 @@
                 ordered=ordered,
             ),
         ),
-        kinds=(DestinationKind("a", chance.random() < 0.5, chance.choice((1, 4))), DestinationKind("b")),
+        destination_types=(
+            DestinationType("a", chance.random() < 0.5, chance.choice((1, 4))),
+            DestinationType("b"),
+        ),
         call_slots=chance.randint(1, 12),
         max_open_messages=30,
         tenants=(Tenant("t", 0.5, 3.0),) if chance.random() < 0.5 else (),
@@ -79,8 +82,8 @@
     policy = DeliveryPolicy(settings, seed)
     locations = {100 + n: (n % 3, n % 2) for n in range(6)}  # endpoint: destination, zone
     state = dict.fromkeys(locations, EndpointState.READY)
-    independent = [settings.kinds[d % 2].independent_endpoints for d in range(3)]
-    batch = [settings.kinds[d % 2].max_batch_size for d in range(3)]
+    independent = [settings.destination_types[d % 2].independent_endpoints for d in range(3)]
+    batch = [settings.destination_types[d % 2].max_batch_size for d in range(3)]
     now, last_message, retry_after_until, timers = 10 * SECOND, 0, {}, []
     live, history, in_flight, ended, order, paused_until = {}, {}, {}, {}, [], {}
     result_weights = chance.choice(((9, 1, 1, 1, 1, 1, 1), (1, 3, 3, 3, 3, 1, 1), (5, 0, 4, 0, 4, 0, 0)))
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -5,7 +5,7 @@
 from message_relay.model import (
     AttemptEnded,
     AttemptResult,
-    DestinationKind,
+    DestinationType,
     EndpointEntry,
     EndpointListForm,
     EndpointListReceived,
@@ -25,7 +25,7 @@
 
 
 def test_longest_retry_after_of_a_batched_call_holds():
-    driver = PolicyDriver(kinds=(DestinationKind("k", max_batch_size=3),))
+    driver = PolicyDriver(destination_types=(DestinationType("k", max_batch_size=3),))
     warm_up(driver)
     driver.run_tick(
         EndpointListReceived(EndpointListForm.DELTA, (EndpointEntry(100, 1, EndpointState.DRAINING),))
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -94,7 +94,7 @@
     settings = read_settings(json.dumps(SETTINGS))
     assert (
         settings.call_slots == 6
-        and settings.kinds == (model.DestinationKind("k", True, 3),)
+        and settings.destination_types == (model.DestinationType("k", True, 3),)
         and settings.classes[1].idempotency is model.Idempotency.NON_IDEMPOTENT
     )
     assert (
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -5,7 +5,7 @@
 from message_relay.model import (
     AttemptEnded,
     AttemptResult,
-    DestinationKind,
+    DestinationType,
     EndpointEntry,
     EndpointListForm,
     EndpointListReceived,
@@ -119,12 +119,12 @@
     driver = PolicyDriver(
         call_slots=1,
         classes=classes,
-        kinds=(DestinationKind("batches", max_batch_size=batch), DestinationKind("single")),
+        destination_types=(DestinationType("batches", max_batch_size=batch), DestinationType("single")),
     )
     driver.run_tick(
         EndpointListReceived(
             EndpointListForm.COMPLETE,
-            tuple(EndpointEntry(100 * n, n, EndpointState.READY, kind=int(n > 1)) for n in (1, 2, 3)),
+            tuple(EndpointEntry(100 * n, n, EndpointState.READY, type_index=int(n > 1)) for n in (1, 2, 3)),
         )
     )
     driver.submit(destination=3)
@@ -146,7 +146,7 @@
 
 def test_group_with_a_lost_call_gets_a_slot_again_after_a_while():
     def goes_first(pause):
-        driver = PolicyDriver(call_slots=1, kinds=(DestinationKind("k"),))
+        driver = PolicyDriver(call_slots=1, destination_types=(DestinationType("k"),))
         driver.run_tick(
             EndpointListReceived(
                 EndpointListForm.COMPLETE,
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -66,8 +66,8 @@
         classes=tuple(map(message_class, CLASSES)),
         call_slots=scenario["slots"],
         max_open_messages=scenario["open"],
-        kinds=tuple(
-            model.DestinationKind(f"k{n}", apart, batch) for n, (apart, batch) in enumerate(scenario["kinds"])
+        destination_types=tuple(
+            model.DestinationType(f"k{n}", apart, batch) for n, (apart, batch) in enumerate(scenario["kinds"])
         ),
         tenants=tuple(
             model.Tenant(f"t{n}", share, quota) for n, (share, quota) in enumerate(scenario["tenants"])
