--- a/message_relay/policy/circuit_breaker.py
+++ b/message_relay/policy/circuit_breaker.py
@@ -15,7 +15,7 @@
     """Allow half-open attempts only, with growing gaps that are spread by chance."""
     circuit = endpoint.circuit
     if not circuit.open:
-        slow_start.learn_warm_rate(state, endpoint)
+        slow_start.update_target_rate(state, endpoint)
         if state.large_fleet and circuit.slow_start_since_us < 0:
             circuit.bucket.tokens = state.random.random()  # chance sets who may try first
         state.log(f"circuit opened: half-open attempts only, endpoint={endpoint.id} reason={reason}")
@@ -40,7 +40,7 @@
         # pace. Half-open attempts alone lost what it still delivers.
         if circuit.slow_start_since_us < 0:
             state.log(f"endpoint answers with errors: slow start, endpoint={endpoint.id}")
-        slow_start.learn_warm_rate(state, endpoint)
+        slow_start.update_target_rate(state, endpoint)
         circuit.open, circuit.probe_interval_us, circuit.slow_start_since_us = False, 0, state.now_us
 
 
--- a/message_relay/policy/recovery_budget.py
+++ b/message_relay/policy/recovery_budget.py
@@ -56,7 +56,7 @@
     group.recovery.since_us = -1
     for endpoint in group.endpoints.values() if group.recovery.failures > 1 else ():
         circuit = endpoint.circuit
-        circuit.warm_rate_per_s = traffic_share_per_s(state, group)
+        circuit.target_rate_per_s = traffic_share_per_s(state, group)
         if not circuit.open or circuit.failure_rate >= 1.0:  # 1: closed by a Retry-After
             circuit.open, circuit.probe_interval_us = False, 0
             circuit.failure_rate = min(circuit.failure_rate, FORGIVEN_FAILURE_RATE)
--- a/message_relay/policy/slow_start.py
+++ b/message_relay/policy/slow_start.py
@@ -5,7 +5,7 @@
 SHORT_FAULT_US = 1_000_000  # trouble that lasted no longer, with answers before and after, was no outage
 SAFE_OVERLOAD_SHARE = 0.8  # of the overload factor is used: the rest is for chance
 ASSUMED_HEADROOM = 2.0  # a capacity that is not advertised is taken for this multiple of the traffic seen
-MIN_WARM_RATE_PER_S = 0.5
+MIN_TARGET_RATE_PER_S = 0.5
 MIN_RATE_PER_S, MIN_RATE_LARGE_FLEET_PER_S = 0.05, 0.001
 
 
@@ -16,23 +16,23 @@
     return group.advertised_rate_per_s or group.destination.arrivals / observed_us * 1e6
 
 
-def learn_warm_rate(state: PolicyState, endpoint: Endpoint) -> None:
-    """Set the rate that the slow start leads to.
+def update_target_rate(state: PolicyState, endpoint: Endpoint) -> None:
+    """Update the target rate, which the slow start leads to.
 
-    A group that fails over and over shows few successes: its warm rate is the best one seen. But the floors
+    A group that fails over and over shows few successes: its target rate is the best one seen. But the floors
     of hundreds of instances add up: there it is the own traffic, whose sum follows the total.
     """
     group, circuit = endpoint.group, endpoint.circuit
     if state.large_fleet:
-        circuit.warm_rate_per_s = traffic_share_per_s(state, group)
+        circuit.target_rate_per_s = traffic_share_per_s(state, group)
     else:
         seen = group.advertised_rate_per_s or group.success_rate_per_s * ASSUMED_HEADROOM
-        circuit.warm_rate_per_s = max(circuit.warm_rate_per_s, seen, MIN_WARM_RATE_PER_S)
+        circuit.target_rate_per_s = max(circuit.target_rate_per_s, seen, MIN_TARGET_RATE_PER_S)
 
 
 def restart_cold(state: PolicyState, endpoint: Endpoint) -> None:
     """The endpoint is put back after a restart: nothing known of it holds, and it starts slowly."""
-    learn_warm_rate(state, endpoint)
+    update_target_rate(state, endpoint)
     circuit = endpoint.circuit
     circuit.open, circuit.failure_rate, circuit.probe_interval_us = False, 0.0, 0
     circuit.slow_start_since_us = circuit.bucket.updated_at_us = state.now_us
@@ -75,8 +75,8 @@
     circuit, group = endpoint.circuit, endpoint.group
     sharing = 1 if state.large_fleet else group.endpoints_in_use()
     least = MIN_RATE_LARGE_FLEET_PER_S if state.large_fleet else MIN_RATE_PER_S
-    # The warm rate may be older than the limit: after a restart in an outage no traffic is known.
-    warm = max(circuit.warm_rate_per_s, group.advertised_rate_per_s)
-    rate = max(factor(state, circuit) * warm / sharing, least)
+    # The target rate may be older than the limit: after a restart in an outage no traffic is known.
+    target = max(circuit.target_rate_per_s, group.advertised_rate_per_s)
+    rate = max(factor(state, circuit) * target / sharing, least)
     circuit.bucket.refill(state.now_us, rate)
     return 0 if circuit.bucket.tokens >= 1.0 else circuit.bucket.wait_us(rate)
--- a/message_relay/policy_snapshot/values.py
+++ b/message_relay/policy_snapshot/values.py
@@ -104,7 +104,7 @@
         circuit.half_open_at_us,
         circuit.probe_interval_us,
         circuit.slow_start_since_us,
-        circuit.warm_rate_per_s,
+        circuit.target_rate_per_s,
         circuit.bucket.tokens,
         circuit.bucket.updated_at_us,
     ]
@@ -118,7 +118,7 @@
         circuit.half_open_at_us,
         circuit.probe_interval_us,
         circuit.slow_start_since_us,
-        circuit.warm_rate_per_s,
+        circuit.target_rate_per_s,
         circuit.bucket.tokens,
         circuit.bucket.updated_at_us,
     ) = values
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -93,7 +93,7 @@
         for n in (100, 101):
             circuit = driver.policy.state.endpoints[n].circuit
             (
-                circuit.warm_rate_per_s,
+                circuit.target_rate_per_s,
                 circuit.slow_start_since_us,
                 circuit.bucket.updated_at_us,
                 circuit.bucket.tokens,
@@ -125,7 +125,7 @@
 def test_slow_start_ends_at_the_full_rate():
     driver = mid_size_fleet()
     circuit = driver.policy.state.endpoints[100].circuit
-    circuit.slow_start_since_us, circuit.warm_rate_per_s = driver.now, 10.0
+    circuit.slow_start_since_us, circuit.target_rate_per_s = driver.now, 10.0
     # Seconds until the full rate, of a slow start of 10 s.
     full = (1 / (0.8 * driver.policy.state.settings.overload_factor) - 0.1) / 0.9 * 10
     driver.submit(after=int((full - 0.5) * SECOND))
