--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -34,7 +34,7 @@
 
 def _send_call(state: PolicyState, message: Message, endpoint: Endpoint) -> None:
     group, circuit = endpoint.group, endpoint.circuit
-    call = Call(endpoint, state.now_us, only_call=not endpoint.in_flight)
+    call = Call(endpoint, state.now_us, endpoint_was_idle=not endpoint.in_flight)
     state.count_in_flight(call, 1)
     endpoint.in_flight[id(call)] = call
     single = message.message_class.idempotency is model.Idempotency.NON_IDEMPOTENT
@@ -86,7 +86,7 @@
     if event.retry_after_us:  # heeded for each message: those of one batch may bring different ones
         until_us = state.now_us + event.retry_after_us + RETRY_AFTER_ROUNDING_US
         group.retry_after_until_us = max(group.retry_after_until_us, until_us)
-    _judge_call(state, call, event)
+    _record_call_outcome(state, call, event)
     state.forget_if_unused(call.endpoint)
     ambiguous = event.result in (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
     if ambiguous and message.order_key and state.settings.order_key_pause_us:
@@ -117,20 +117,20 @@
             state.actions.append(model.CloseIdleConnections(endpoint.id))
 
 
-def _judge_call(state: PolicyState, call: Call, event: model.AttemptEnded) -> None:
+def _record_call_outcome(state: PolicyState, call: Call, event: model.AttemptEnded) -> None:
     endpoint, group, circuit = call.endpoint, call.endpoint.group, call.endpoint.circuit
-    if not call.judged and not _is_silent(call, event):
-        call.judged = True
+    if not call.outcome_recorded and not _is_silent(call, event):
+        call.outcome_recorded = True
         if event.result is not AttemptResult.REJECTED:
             timeouts.record_slot_occupancy(state, group, event.latency_us)
         # A malformed response is no fault of the endpoint by itself.
         if not event.malformed or state.now_us - endpoint.last_success_at_us > SHORT_FAULT_US:
-            outlier_detection.judge(state, call, event)
+            outlier_detection.record_call_outcome(state, call, event)
     if call.open_attempts:
         return
     if circuit.half_open_call is call:
         circuit.half_open_call = None
-    if not call.judged and event.result is AttemptResult.NOT_ATTEMPTED:  # no call came of it
+    if not call.outcome_recorded and event.result is AttemptResult.NOT_ATTEMPTED:  # no call came of it
         group.bucket.tokens += 1.0
         circuit.bucket.tokens = min(1.0, circuit.bucket.tokens + 1.0)
         group.recovery.bucket.tokens += 1.0
--- a/message_relay/policy/outlier_detection.py
+++ b/message_relay/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: judges the outcome of each call, and finds the endpoints that fail."""
+"""Outlier detection: records the outcome of each call, and finds the endpoints that fail."""
 
 from message_relay.model import AttemptEnded, AttemptResult
 from message_relay.policy import (
@@ -22,8 +22,8 @@
 SUCCESS_RATE_SPAN_US, SUCCESS_RATE_STEP = 4e6, 0.25
 
 
-def judge(state: PolicyState, call: Call, event: AttemptEnded) -> None:
-    """Learn from the outcome of a call."""
+def record_call_outcome(state: PolicyState, call: Call, event: AttemptEnded) -> None:
+    """Enter the outcome of a call into the statistics."""
     connection_reuse.record(state, event.result, call)
     if event.result is AttemptResult.OK:
         connection_reuse.record_success(state, call)
@@ -41,7 +41,7 @@
     if event.result is not AttemptResult.REJECTED or event.retry_after_us or state.large_fleet:
         return False
     answers = state.now_us - call.endpoint.last_success_at_us < SHORT_FAULT_US
-    return call.connection_idle_us < 0 and answers and not call.only_call
+    return call.connection_idle_us < 0 and answers and not call.endpoint_was_idle
 
 
 def _is_failure(state: PolicyState, call: Call, event: AttemptEnded) -> bool:
--- a/message_relay/policy_snapshot/transfer.py
+++ b/message_relay/policy_snapshot/transfer.py
@@ -156,13 +156,13 @@
 
 def _restore_call(state: PolicyState, own: CallSnapshot, endpoints: dict[int, int]) -> None:
     endpoint = state.endpoints[endpoints[own.endpoint]]
-    sent_at_us, judged, idle_us, only_call, require_new_connection, table_full = own.values
+    sent_at_us, outcome_recorded, idle_us, endpoint_was_idle, require_new_connection, table_full = own.values
     call = Call(
         endpoint,
         sent_at_us,
-        only_call,
+        endpoint_was_idle,
         len(own.attempts),
-        judged,
+        outcome_recorded,
         idle_us,
         require_new_connection,
         table_full,
--- a/message_relay/policy_snapshot/values.py
+++ b/message_relay/policy_snapshot/values.py
@@ -128,9 +128,9 @@
     """A call's state in the order of the wire."""
     return [
         call.sent_at_us,
-        call.judged,
+        call.outcome_recorded,
         call.connection_idle_us,
-        call.only_call,
+        call.endpoint_was_idle,
         call.require_new_connection,
         call.connection_table_full,
     ]
--- a/message_relay/policy_state/entities.py
+++ b/message_relay/policy_state/entities.py
@@ -136,9 +136,9 @@
 
     endpoint: Endpoint
     sent_at_us: int
-    only_call: bool  # no other call was in flight to the endpoint when it was sent
+    endpoint_was_idle: bool  # no other call was in flight to the endpoint when it was sent
     open_attempts: int = 0
-    judged: bool = False
+    outcome_recorded: bool = False  # it was entered into the statistics
     connection_idle_us: int = -1  # how long its connection had been idle, -1 for a new one
     require_new_connection: bool = False
     connection_table_full: bool = False  # rejected by a full table of connections
--- a/tests/test_delivery_policy.py
+++ b/tests/test_delivery_policy.py
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize(
     "result", [AttemptResult.NOT_ATTEMPTED, AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED]
 )
-def test_batch_is_not_judged_by_a_message_that_ended_by_itself(result):
+def test_message_that_ended_by_itself_does_not_record_the_outcome_of_its_batch(result):
     driver = PolicyDriver(destination_types=(DestinationType("k", max_batch_size=2),))
     driver.submit()
     for message_class in (0, 0):
