--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -147,7 +147,7 @@
     not_attempted = event.result is AttemptResult.NOT_ATTEMPTED
     wait_us = 0 if not_attempted else retry.backoff_us(state, message.attempts - 1)
     last_start_us = retry.last_start_us(state, message)
-    overloaded = event.result is AttemptResult.REJECTED and not call.connection_table_full
+    overloaded = event.result is AttemptResult.REJECTED and not call.connection_limit_reached
     if overloaded and not retry.outlasts_rejection(state, message):
         final_answer.finish(state, message, event.retry_after_us)
     elif message.attempts >= state.max_attempts or state.now_us + wait_us >= last_start_us:
--- a/message_relay/policy/concurrency_window.py
+++ b/message_relay/policy/concurrency_window.py
@@ -2,7 +2,7 @@
 
 from message_relay.policy_state import Destination, Endpoint, EndpointGroup, PolicyState
 
-TABLE_RETRY_US = 2_000_000  # one more connection than a full table took is tried after this
+CONNECTION_LIMIT_RETRY_US = 2_000_000  # one more connection than the limit is tried after this
 
 
 def grow(state: PolicyState, group: EndpointGroup) -> None:
@@ -20,16 +20,16 @@
     group.concurrency_window = max(1.0, group.concurrency_window / 2)
 
 
-def record_full_table(state: PolicyState, endpoint: Endpoint) -> None:
+def record_connection_limit(state: PolicyState, endpoint: Endpoint) -> None:
     """The endpoint took no more connections than it has now."""
     reused = sum(call.connection_idle_us >= 0 for call in endpoint.in_flight.values())
     endpoint.connection_limit = max(1, reused + len(endpoint.idle_since_us))
     endpoint.connection_limit_at_us = state.now_us
 
 
-def grow_table(state: PolicyState, endpoint: Endpoint) -> None:
-    """A call succeeded: allow one more connection, some time after the table was full."""
-    if state.now_us - endpoint.connection_limit_at_us > TABLE_RETRY_US:
+def raise_connection_limit(state: PolicyState, endpoint: Endpoint) -> None:
+    """A call succeeded: allow one more connection, some time after the limit was reached."""
+    if state.now_us - endpoint.connection_limit_at_us > CONNECTION_LIMIT_RETRY_US:
         endpoint.connection_limit += 1
         endpoint.connection_limit_at_us = state.now_us
 
--- a/message_relay/policy/outlier_detection.py
+++ b/message_relay/policy/outlier_detection.py
@@ -15,7 +15,9 @@
 
 AMBIGUOUS_FADE_SHARE = 0.6  # the share of ambiguous failures fades in this part of the slow start's time
 LOST_CALL_FACTOR = 4.0  # with 1 in so many calls lost, time-outs are no evidence
-RECENT_SUCCESS_US = 1_000_000  # what answered this lately is not down: a failed connection is a full table
+RECENT_SUCCESS_US = (
+    1_000_000  # what answered this lately is not down: a failed connection is a connection limit
+)
 SHUT_DOWN_RETRY_AFTER_US = (
     2_500_000  # a longer one is a destination that was shut down, not the end of a span
 )
@@ -29,15 +31,15 @@
         connection_reuse.record_success(state, call)
         _record_success(state, call.endpoint, timeouts.without_setup_us(state, call, event.latency_us))
         return
-    call.connection_table_full = _connection_table_full(state, call, event)
-    if call.connection_table_full:
-        concurrency_window.record_full_table(state, call.endpoint)
+    call.connection_limit_reached = _connection_limit_reached(state, call, event)
+    if call.connection_limit_reached:
+        concurrency_window.record_connection_limit(state, call.endpoint)
     elif _is_failure(state, call, event):
         _record_failure(state, call, event.result)
 
 
-def _connection_table_full(state: PolicyState, call: Call, event: AttemptEnded) -> bool:
-    """Rejected on a new connection while reused ones are answered: a full table, not a rate limit."""
+def _connection_limit_reached(state: PolicyState, call: Call, event: AttemptEnded) -> bool:
+    """Rejected on a new connection while reused ones are answered: the connection limit, not a rate limit."""
     if event.result is not AttemptResult.REJECTED or event.retry_after_us or state.large_fleet:
         return False
     answers = state.now_us - call.endpoint.last_success_at_us < SHORT_FAULT_US
@@ -100,7 +102,7 @@
 def _record_success(state: PolicyState, endpoint: Endpoint, latency_us: int) -> None:
     group = endpoint.group
     short_fault = state.now_us - endpoint.last_success_at_us < SHORT_FAULT_US
-    concurrency_window.grow_table(state, endpoint)
+    concurrency_window.raise_connection_limit(state, endpoint)
     endpoint.last_success_at_us = state.now_us
     endpoint.failure_rate *= 1 - FAILURE_MEMORY
     endpoint.circuit.failure_rate *= 1 - FAILURE_MEMORY
--- a/message_relay/policy_snapshot/transfer.py
+++ b/message_relay/policy_snapshot/transfer.py
@@ -156,7 +156,14 @@
 
 def _restore_call(state: PolicyState, own: CallSnapshot, endpoints: dict[int, int]) -> None:
     endpoint = state.endpoints[endpoints[own.endpoint]]
-    sent_at_us, outcome_recorded, idle_us, endpoint_was_idle, require_new_connection, table_full = own.values
+    (
+        sent_at_us,
+        outcome_recorded,
+        idle_us,
+        endpoint_was_idle,
+        require_new_connection,
+        connection_limit_reached,
+    ) = own.values
     call = Call(
         endpoint,
         sent_at_us,
@@ -165,7 +172,7 @@
         outcome_recorded,
         idle_us,
         require_new_connection,
-        table_full,
+        connection_limit_reached,
     )
     endpoint.in_flight[id(call)] = call
     if own.half_open:
--- a/message_relay/policy_snapshot/values.py
+++ b/message_relay/policy_snapshot/values.py
@@ -132,7 +132,7 @@
         call.connection_idle_us,
         call.endpoint_was_idle,
         call.require_new_connection,
-        call.connection_table_full,
+        call.connection_limit_reached,
     ]
 
 
--- a/message_relay/policy_state/entities.py
+++ b/message_relay/policy_state/entities.py
@@ -72,7 +72,7 @@
     ambiguous_failure_at_us: int = 0
     last_success_at_us: int = 0
     last_failure_at_us: int = 0
-    connection_limit: float = math.inf  # connections that its table took when it was full
+    connection_limit: float = math.inf  # connections that it accepted when it accepted no more
     connection_limit_at_us: int = 0
 
 
@@ -141,7 +141,7 @@
     outcome_recorded: bool = False  # it was entered into the statistics
     connection_idle_us: int = -1  # how long its connection had been idle, -1 for a new one
     require_new_connection: bool = False
-    connection_table_full: bool = False  # rejected by a full table of connections
+    connection_limit_reached: bool = False  # rejected because the endpoint accepts no further connections
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -80,7 +80,7 @@
 
 
 @with_fleet
-async def test_a_full_connection_table_is_a_failed_connection_and_no_overload(fleet):
+async def test_a_reached_connection_limit_is_a_failed_connection_and_no_overload(fleet):
     endpoint = await add_endpoint(fleet, LimitedConnectionsEndpoint())
     client = await fleet.start_relay()
     for number in range(8):
