--- a/message_relay/policy/circuit_breaker.py
+++ b/message_relay/policy/circuit_breaker.py
@@ -8,7 +8,8 @@
 OPEN_FAILURE_RATE, FAILURES_TO_OPEN = 0.5, 3  # from none, three failures in a row reach that rate
 TWO_FAILURES_RATE = 0.4  # and two this one
 FORGIVEN_FAILURE_RATE = OPEN_FAILURE_RATE * 0.8  # what a first answer leaves of it at most
-PROBE_INTERVAL_US, MAX_PROBE_INTERVAL_US = 400_000, 2_500_000  # ceilings of the gap: the first, the longest
+# Ceilings of the gap between half-open attempts: the first, the longest.
+HALF_OPEN_INTERVAL_US, MAX_HALF_OPEN_INTERVAL_US = 400_000, 2_500_000
 
 
 def open_circuit(state: PolicyState, endpoint: Endpoint, reason: str) -> None:
@@ -20,8 +21,10 @@
             circuit.bucket.tokens = state.random.random()  # chance sets who may try first
         state.log(f"circuit opened: half-open attempts only, endpoint={endpoint.id} reason={reason}")
     circuit.open, circuit.slow_start_since_us = True, -1
-    circuit.probe_interval_us = min(MAX_PROBE_INTERVAL_US, circuit.probe_interval_us * 2 or PROBE_INTERVAL_US)
-    circuit.half_open_at_us = state.now_us + int(state.random.uniform(0.5, 1) * circuit.probe_interval_us)
+    circuit.half_open_interval_us = min(
+        MAX_HALF_OPEN_INTERVAL_US, circuit.half_open_interval_us * 2 or HALF_OPEN_INTERVAL_US
+    )
+    circuit.half_open_at_us = state.now_us + int(state.random.uniform(0.5, 1) * circuit.half_open_interval_us)
 
 
 def record_failure(state: PolicyState, endpoint: Endpoint, result: AttemptResult, call: Call) -> None:
@@ -41,7 +44,7 @@
         if circuit.slow_start_since_us < 0:
             state.log(f"endpoint answers with errors: slow start, endpoint={endpoint.id}")
         slow_start.update_target_rate(state, endpoint)
-        circuit.open, circuit.probe_interval_us, circuit.slow_start_since_us = False, 0, state.now_us
+        circuit.open, circuit.half_open_interval_us, circuit.slow_start_since_us = False, 0, state.now_us
 
 
 def _opens_early(state: PolicyState, circuit: CircuitBreaker, result: AttemptResult) -> bool:
@@ -68,7 +71,7 @@
         if not state.large_fleet:  # a whole token each, on top of the half-open attempts, is too much
             circuit.bucket.tokens = state.random.random()
         state.log(f"circuit closed: slow start, endpoint={endpoint.id}")
-    circuit.probe_interval_us = 0
+    circuit.half_open_interval_us = 0
     circuit.failure_rate = min(circuit.failure_rate, FORGIVEN_FAILURE_RATE)
 
 
--- a/message_relay/policy/outlier_detection.py
+++ b/message_relay/policy/outlier_detection.py
@@ -15,9 +15,8 @@
 
 AMBIGUOUS_FADE_SHARE = 0.6  # the share of ambiguous failures fades in this part of the slow start's time
 LOST_CALL_FACTOR = 4.0  # with 1 in so many calls lost, time-outs are no evidence
-RECENT_SUCCESS_US = (
-    1_000_000  # what answered this lately is not down: a failed connection is a connection limit
-)
+# What answered this lately is not down: a connection that failed met the connection limit.
+RECENT_SUCCESS_US = 1_000_000
 SHUT_DOWN_RETRY_AFTER_US = (
     2_500_000  # a longer one is a destination that was shut down, not the end of a span
 )
--- a/message_relay/policy/recovery_budget.py
+++ b/message_relay/policy/recovery_budget.py
@@ -58,7 +58,7 @@
         circuit = endpoint.circuit
         circuit.target_rate_per_s = traffic_share_per_s(state, group)
         if not circuit.open or circuit.failure_rate >= 1.0:  # 1: closed by a Retry-After
-            circuit.open, circuit.probe_interval_us = False, 0
+            circuit.open, circuit.half_open_interval_us = False, 0
             circuit.failure_rate = min(circuit.failure_rate, FORGIVEN_FAILURE_RATE)
             circuit.slow_start_since_us = circuit.bucket.updated_at_us = state.now_us
             circuit.bucket.tokens = 0.0
--- a/message_relay/policy/slow_start.py
+++ b/message_relay/policy/slow_start.py
@@ -34,7 +34,7 @@
     """The endpoint is put back after a restart: nothing known of it holds, and it starts slowly."""
     update_target_rate(state, endpoint)
     circuit = endpoint.circuit
-    circuit.open, circuit.failure_rate, circuit.probe_interval_us = False, 0.0, 0
+    circuit.open, circuit.failure_rate, circuit.half_open_interval_us = False, 0.0, 0
     circuit.slow_start_since_us = circuit.bucket.updated_at_us = state.now_us
     circuit.bucket.tokens = state.random.random() if state.large_fleet else 1.0
     endpoint.failure_rate = 0.0
--- a/message_relay/policy_state/entities.py
+++ b/message_relay/policy_state/entities.py
@@ -48,7 +48,7 @@
     open: bool = False  # half-open attempts only
     half_open_call: Call | None = None
     half_open_at_us: int = 0
-    probe_interval_us: int = 0  # between two half-open attempts
+    half_open_interval_us: int = 0  # between two half-open attempts
     slow_start_since_us: int = -1  # -1 when warm
     target_rate_per_s: float = 0.0  # this instance's part of the rate that a slow start leads to
     bucket: TokenBucket = field(default_factory=TokenBucket)
