--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -153,7 +153,7 @@
     elif message.attempts >= state.max_attempts or state.now_us + wait_us >= last_start_us:
         final_answer.finish(state, message)
     else:
-        if last_start_us < message.deadline_us - state.margin_us:
+        if last_start_us < message.deadline_us - state.deadline_margin_us:
             state.schedule_expiry(last_start_us, message)
         message.ready_at_us = state.now_us + wait_us
         message.fast_retry = message.attempts == 1 and event.latency_us < FAST_FAILURE_US
--- a/message_relay/policy/eligibility.py
+++ b/message_relay/policy/eligibility.py
@@ -48,7 +48,7 @@
 def attempt_allowed(state: PolicyState, message: Message, endpoint: Endpoint) -> bool:
     """Whether the message may be attempted at an endpoint that admits calls."""
     group, circuit = endpoint.group, endpoint.circuit
-    left_us = min(message.deadline_us, state.shutdown_at_us) - state.now_us - state.margin_us
+    left_us = min(message.deadline_us, state.shutdown_at_us) - state.now_us - state.deadline_margin_us
     if state.shutdown_at_us < math.inf and left_us < timeouts.answer_timeout_us(state, group):
         return False  # it might be cut off at the end
     if message.closed or message.in_flight or message.attempts >= state.max_attempts or left_us <= 0:
--- a/message_relay/policy/retry.py
+++ b/message_relay/policy/retry.py
@@ -26,7 +26,7 @@
     latest: float = message.deadline_us
     if message.possibly_applied_at_us >= 0:
         latest = min(latest, message.possibly_applied_at_us + _repeat_window_us(message))
-    return latest - state.margin_us
+    return latest - state.deadline_margin_us
 
 
 def _repeat_window_us(message: Message) -> float:
--- a/message_relay/policy/timeouts.py
+++ b/message_relay/policy/timeouts.py
@@ -102,7 +102,7 @@
 
 
 def _timeout_us(state: PolicyState, message: Message, call: Call, expected_us: int) -> int:
-    left_us = int(min(message.deadline_us, state.shutdown_at_us)) - state.now_us - state.margin_us
+    left_us = int(min(message.deadline_us, state.shutdown_at_us)) - state.now_us - state.deadline_margin_us
     timeout_us = left_us
     if message.message_class.idempotency is Idempotency.NON_IDEMPOTENT:
         # One long attempt, unless slots are short: a lost one keeps its slot from others.
--- a/message_relay/policy_snapshot/transfer.py
+++ b/message_relay/policy_snapshot/transfer.py
@@ -151,7 +151,7 @@
     if message.order_key:
         state.order_queues.setdefault(message.order_key, []).append(message)
     if not message.closed:
-        state.schedule_expiry(message.deadline_us - state.margin_us, message)
+        state.schedule_expiry(message.deadline_us - state.deadline_margin_us, message)
 
 
 def _restore_call(state: PolicyState, own: CallSnapshot, endpoints: dict[int, int]) -> None:
--- a/message_relay/server/attempt_runner.py
+++ b/message_relay/server/attempt_runner.py
@@ -107,13 +107,16 @@
         """A batch is one call, waited for as long as its first message may wait: led by one whose time is up
         sooner, it would count as given up while the others are still waited for.
         """
-        messages, margin_us = self._journal.messages, DEADLINE_MARGIN_TICKS * self._settings.tick_interval_us
+        messages, deadline_margin_us = (
+            self._journal.messages,
+            DEADLINE_MARGIN_TICKS * self._settings.tick_interval_us,
+        )
         attempts = sorted(attempts, key=lambda attempt: -messages[attempt.message_number].deadline_s)
         longest_us = max(attempt.timeout_us for attempt in attempts)
         longest_new_us = max(attempt.new_connection_timeout_us for attempt in attempts)
         for attempt in attempts:
             deadline_us = clock.monotonic_at_us(messages[attempt.message_number].deadline_s)
-            left_us = deadline_us - clock.monotonic_us() - margin_us
+            left_us = deadline_us - clock.monotonic_us() - deadline_margin_us
             attempt.timeout_us = max(attempt.timeout_us, min(longest_us, left_us))
             new_us = max(attempt.new_connection_timeout_us, min(longest_new_us, left_us))
             attempt.new_connection_timeout_us = new_us
@@ -155,7 +158,7 @@
         message_class = self._settings.classes[message.message_class]
         keyed = message_class.idempotency is Idempotency.KEYED
         applied_at_s = message.possibly_applied_at_s if keyed else 0.0
-        window_s = (message_class.key_window_us - self._policy.state.margin_us) / 1e6
+        window_s = (message_class.key_window_us - self._policy.state.deadline_margin_us) / 1e6
         return bool(applied_at_s) and time.time() >= applied_at_s + window_s
 
     def attempt_ended(
