--- a/message_relay/policy/concurrency_window.py
+++ b/message_relay/policy/concurrency_window.py
@@ -7,7 +7,7 @@
 
 def grow(state: PolicyState, group: EndpointGroup) -> None:
     """A call succeeded."""
-    group.concurrency_window = min(state.destination_limit, group.concurrency_window + 1)
+    group.concurrency_window = min(state.max_calls_per_destination, group.concurrency_window + 1)
 
 
 def shrink(group: EndpointGroup) -> None:
@@ -36,7 +36,10 @@
 
 def slots_taken(state: PolicyState, destination: Destination) -> bool:
     """Whether no slot is left for one more call to the destination."""
-    return state.in_flight >= state.settings.call_slots or destination.in_flight >= state.destination_limit
+    return (
+        state.in_flight >= state.settings.call_slots
+        or destination.in_flight >= state.max_calls_per_destination
+    )
 
 
 def is_full(group: EndpointGroup) -> bool:
--- a/message_relay/policy/limits.py
+++ b/message_relay/policy/limits.py
@@ -16,7 +16,7 @@
     return Limits(
         large_fleet=settings.instance_count > LARGE_FLEET_INSTANCES_PER_SLOT * settings.call_slots,
         max_attempts=min(MAX_ATTEMPTS, settings.max_attempts),
-        destination_limit=max(1, int(DESTINATION_SLOT_SHARE * settings.call_slots)),
+        max_calls_per_destination=max(1, int(DESTINATION_SLOT_SHARE * settings.call_slots)),
         deadline_margin_us=DEADLINE_MARGIN_TICKS * settings.tick_interval_us,
         min_lost_call_rate=MIN_LOST_CALL_RATE,
     )
--- a/message_relay/policy/timeouts.py
+++ b/message_relay/policy/timeouts.py
@@ -106,7 +106,7 @@
     timeout_us = left_us
     if message.message_class.idempotency is Idempotency.NON_IDEMPOTENT:
         # One long attempt, unless slots are short: a lost one keeps its slot from others.
-        slots_short = state.in_flight > state.destination_limit
+        slots_short = state.in_flight > state.max_calls_per_destination
         objective_us = message.message_class.latency_objective_us
         timeout_us = min(left_us, expected_us if slots_short else max(expected_us, objective_us))
     else:
--- a/message_relay/policy_state/state.py
+++ b/message_relay/policy_state/state.py
@@ -27,7 +27,7 @@
 
     large_fleet: bool  # so many small instances that one's own calls say little
     max_attempts: int  # of one message, the first included
-    destination_limit: int  # calls in flight to one destination
+    max_calls_per_destination: int  # in flight at once
     deadline_margin_us: int  # kept free before a deadline
     min_lost_call_rate: float  # least share of calls taken as lost
 
@@ -41,7 +41,7 @@
         self.tick_interval_us = settings.tick_interval_us
         self.large_fleet = limits.large_fleet
         self.max_attempts = limits.max_attempts
-        self.destination_limit = limits.destination_limit
+        self.max_calls_per_destination = limits.max_calls_per_destination
         self.deadline_margin_us = limits.deadline_margin_us
         self.min_lost_call_rate = limits.min_lost_call_rate
         self.now_us = 0
