--- a/message_relay/policy/admission.py
+++ b/message_relay/policy/admission.py
@@ -101,6 +101,6 @@
     return message.possibly_applied_at_us >= 0, message.restored_untried, weight, -message.sequence
 
 
-def come_back_us(state: PolicyState) -> int:
+def capacity_retry_after_us(state: PolicyState) -> int:
     """A Retry-After for a message that there is no capacity for: spread by chance."""
     return int(state.settings.max_retry_after_us * state.random.uniform(0.5, 1))
--- a/message_relay/policy/delivery_policy.py
+++ b/message_relay/policy/delivery_policy.py
@@ -57,9 +57,9 @@
         """Endpoints that get half-open attempts at most: cordoned, or their circuit is open."""
         return [e.id for e in self.state.endpoints.values() if e.cordoned or e.circuit.open]
 
-    def come_back_us(self) -> int:
+    def capacity_retry_after_us(self) -> int:
         """A Retry-After in microseconds, for a message that there is no capacity for."""
-        return admission.come_back_us(self.state)
+        return admission.capacity_retry_after_us(self.state)
 
     def _record_load(self, event: model.LoadReportReceived) -> None:
         endpoint, settings = self.state.endpoints.get(event.endpoint), self.state.settings
--- a/message_relay/server/submission.py
+++ b/message_relay/server/submission.py
@@ -100,7 +100,7 @@
         """
         message_class, tenant = self._check(request)
         if self._events.paused:
-            reply.send(replies.busy(self._policy.come_back_us()))
+            reply.send(replies.busy(self._policy.capacity_retry_after_us()))
             return
         if request.message_id in self.pending_ids:
             self.pending[self.pending_ids[request.message_id]].replies.append(reply)
@@ -111,7 +111,7 @@
         open_messages = self._journal.open_count + len(self.pending)
         if self.is_closed() or open_messages >= self._settings.max_open_messages:
             self._metrics.record_rejected(message_class)
-            reply.send(replies.busy(self._policy.come_back_us()))
+            reply.send(replies.busy(self._policy.capacity_retry_after_us()))
             return
         self._add(self._new_message(request, message_class, tenant), reply)
 
@@ -198,7 +198,7 @@
             log.error("message not accepted: message=%s error=%s", message.id, error)
             self._metrics.record_rejected(message.message_class)
             self._events.add(MessageWithdrawn(message.number))
-            pending.answer(replies.busy(self._policy.come_back_us()))
+            pending.answer(replies.busy(self._policy.capacity_retry_after_us()))
             return
         self._answers.watch_deadline(message)
         pending.answer(replies.OK)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -154,7 +154,7 @@
     def inspect(self):
         return [
             ["avoided", *sorted(self.policy.avoided_endpoints())],
-            ["come_back", self.policy.come_back_us()],
+            ["come_back", self.policy.capacity_retry_after_us()],
         ]
 
     def export(self):
