--- a/message_relay/policy/admission.py
+++ b/message_relay/policy/admission.py
@@ -18,7 +18,7 @@
         return
     state.sequence += 1
     if event.resubmitted:
-        state.unreturned_rejections = 0
+        state.rejections_since_resubmission = 0
     message_class, destination = (
         state.settings.classes[event.message_class],
         state.destination(event.destination),
--- a/message_relay/policy/final_answer.py
+++ b/message_relay/policy/final_answer.py
@@ -14,7 +14,7 @@
         state.actions.append(FailMessage(message.id))
     else:
         if left_us > max(longest_us, message.message_class.latency_objective_us):
-            state.unreturned_rejections += 1
+            state.rejections_since_resubmission += 1
         # None was given: half the longest that clients heed, where that leaves the message some time.
         if not retry_after_us and left_us > longest_us:
             retry_after_us = longest_us // 2
--- a/message_relay/policy/retry.py
+++ b/message_relay/policy/retry.py
@@ -12,7 +12,7 @@
 BACKOFF_BASE_US = 100_000  # first ceiling of the wait (the design's default)
 BACKOFF_CAP_US = 3_000_000  # highest ceiling (the design's default)
 MAX_BACKOFF_EXPONENT = 30
-UNRETURNED_REJECTIONS = 20  # after so many with no client coming back, clients are taken not to do so
+REJECTIONS_WITHOUT_RESUBMISSION = 20  # after so many, clients are assumed not to resubmit
 
 
 def backoff_us(state: PolicyState, attempt: int) -> int:
@@ -57,5 +57,5 @@
 
     Where clients mark what they resubmit and many rejections brought nobody back, a rejection is a loss.
     """
-    deserted = state.unreturned_rejections >= UNRETURNED_REJECTIONS
+    deserted = state.rejections_since_resubmission >= REJECTIONS_WITHOUT_RESUBMISSION
     return state.settings.clients_mark_retries and deserted and message.attempts < state.max_attempts
--- a/message_relay/policy_snapshot/snapshots.py
+++ b/message_relay/policy_snapshot/snapshots.py
@@ -12,7 +12,7 @@
     """What concerns the whole instance: counters, quotas and call statistics."""
 
     sequence: int
-    unreturned_rejections: int
+    rejections_since_resubmission: int
     capacity_full: bool
     quotas: list[TenantQuota]
     started_at_us: int
@@ -21,7 +21,7 @@
     def instance_values(self) -> Values:
         """In the order of the wire: the counters."""
         quotas = [[q.rate_per_s, q.bucket.tokens, q.bucket.updated_at_us] for q in self.quotas]
-        return [self.sequence, self.unreturned_rejections, self.capacity_full, quotas]
+        return [self.sequence, self.rejections_since_resubmission, self.capacity_full, quotas]
 
     def statistics_values(self) -> Values:
         """In the order of the wire: the statistics."""
@@ -42,13 +42,13 @@
     @classmethod
     def from_values(cls, instance: Values, statistics: Values) -> InstanceSnapshot:
         """The reverse of the two."""
-        sequence, unreturned_rejections, capacity_full, quotas = instance
+        sequence, rejections_since_resubmission, capacity_full, quotas = instance
         started_at_us, reuse_us, rejections, lost_idle, occupancy, lost, setup, deviation, silent, reset = (
             statistics
         )
         return cls(
             sequence,
-            unreturned_rejections,
+            rejections_since_resubmission,
             capacity_full,
             [TenantQuota(rate, TokenBucket(tokens, at_us)) for rate, tokens, at_us in quotas],
             started_at_us,
--- a/message_relay/policy_snapshot/transfer.py
+++ b/message_relay/policy_snapshot/transfer.py
@@ -32,7 +32,7 @@
         attempts={message.id: message.attempts for message in state.messages.values()},
         instance=InstanceSnapshot(
             state.sequence,
-            state.unreturned_rejections,
+            state.rejections_since_resubmission,
             state.capacity_full,
             state.quotas,
             state.started_at_us,
@@ -103,7 +103,7 @@
 
 def _restore_instance(state: PolicyState, instance: InstanceSnapshot) -> None:
     state.sequence = instance.sequence
-    state.unreturned_rejections = instance.unreturned_rejections
+    state.rejections_since_resubmission = instance.rejections_since_resubmission
     state.capacity_full = instance.capacity_full
     state.quotas = instance.quotas
     state.started_at_us = instance.started_at_us
--- a/message_relay/policy_state/state.py
+++ b/message_relay/policy_state/state.py
@@ -60,7 +60,7 @@
         shares = [tenant.quota_per_s / settings.instance_count for tenant in settings.tenants]
         self.quotas = [TenantQuota(rate, TokenBucket()) for rate in shares]
         self.capacity_full = False
-        self.unreturned_rejections = 0  # since one came back
+        self.rejections_since_resubmission = 0
         self.statistics = CallStatistics(
             settings.connection_idle_us, [0.0] * len(settings.destination_types), limits.min_lost_call_rate
         )
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -72,7 +72,7 @@
 
 def test_rejected_message_waits_here_where_clients_do_not_come_back():
     driver = PolicyDriver(clients_mark_retries=True, classes=CLASSES)
-    driver.policy.state.unreturned_rejections = 20
+    driver.policy.state.rejections_since_resubmission = 20
     driver.submit()
     actions = driver.end_attempt(1, AttemptResult.REJECTED, retry_after=SECOND)
     assert (
