--- a/message_relay/policy/admission.py
+++ b/message_relay/policy/admission.py
@@ -98,7 +98,7 @@
 def _shedding_rank(state: PolicyState, message: Message) -> tuple[bool, bool, float, int]:
     """The least goes first: never attempted, of little weight now, the newest."""
     weight = selection.weight_at(state, message, state.now_us)
-    return message.possibly_applied_at_us >= 0, message.restored_untried, weight, -message.sequence
+    return message.possibly_applied_at_us >= 0, message.restored_unattempted, weight, -message.sequence
 
 
 def capacity_retry_after_us(state: PolicyState) -> int:
--- a/message_relay/policy/selection.py
+++ b/message_relay/policy/selection.py
@@ -44,8 +44,8 @@
         return None
     loss, best = _loss_by_waiting(state, destination), None
     for message in destination.queue:
-        untried = message.restored_untried
-        order = (-math.inf, message.deadline_us) if untried else (loss(message), message.sequence)
+        unattempted = message.restored_unattempted
+        order = (-math.inf, message.deadline_us) if unattempted else (loss(message), message.sequence)
         if best is None or order < best.order:
             fit = [endpoint for endpoint in admitting if attempt_allowed(state, message, endpoint)]
             if fit:
--- a/message_relay/policy_state/entities.py
+++ b/message_relay/policy_state/entities.py
@@ -193,7 +193,7 @@
         )
 
     @property
-    def restored_untried(self) -> bool:
+    def restored_unattempted(self) -> bool:
         """Accepted before a restart and never attempted: it goes before what is new."""
         return self.restored and self.attempts == 0
 
