--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -87,7 +87,7 @@
         until_us = state.now_us + event.retry_after_us + RETRY_AFTER_ROUNDING_US
         group.retry_after_until_us = max(group.retry_after_until_us, until_us)
     _record_call_outcome(state, call, event)
-    state.forget_if_unused(call.endpoint)
+    state.remove_if_unused(call.endpoint)
     ambiguous = event.result in (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
     if ambiguous and message.order_key and state.settings.order_key_pause_us:
         state.order_pauses[message.order_key] = state.now_us + state.settings.order_key_pause_us
--- a/message_relay/policy/membership.py
+++ b/message_relay/policy/membership.py
@@ -13,7 +13,7 @@
     for number, endpoint in list(state.endpoints.items()):
         if event.form is not EndpointListForm.DELTA and number not in listed:
             endpoint.state = EndpointState.REMOVED
-        state.forget_if_unused(endpoint)
+        state.remove_if_unused(endpoint)
 
 
 def _apply_entry(state: PolicyState, entry: EndpointEntry) -> None:
--- a/message_relay/policy_state/state.py
+++ b/message_relay/policy_state/state.py
@@ -115,7 +115,7 @@
         group.endpoints[endpoint.id] = self.endpoints[endpoint.id] = endpoint
         return endpoint
 
-    def forget_if_unused(self, endpoint: Endpoint) -> None:
+    def remove_if_unused(self, endpoint: Endpoint) -> None:
         """Drop an endpoint that was removed, once no call is in flight there: replacements would pile up."""
         if endpoint.state is not EndpointState.REMOVED or endpoint.in_flight:
             return
