--- a/message_relay/policy/delivery_policy.py
+++ b/message_relay/policy/delivery_policy.py
@@ -53,8 +53,8 @@
             state.schedule_tick(state.expiries[0][0])
         return state.actions
 
-    def avoided_endpoints(self) -> list[int]:
-        """Endpoints that get half-open attempts at most: cordoned, or their circuit is open."""
+    def endpoints_out_of_rotation(self) -> list[int]:
+        """Endpoints that get half-open attempts at most: cordoned, or with an open circuit."""
         return [e.id for e in self.state.endpoints.values() if e.cordoned or e.circuit.open]
 
     def capacity_retry_after_us(self) -> int:
--- a/message_relay/server/metrics.py
+++ b/message_relay/server/metrics.py
@@ -19,7 +19,7 @@
 
     open_messages: int
     endpoints_listed: int
-    endpoints_avoided: int
+    endpoints_out_of_rotation: int
 
 
 class Metrics:
@@ -68,7 +68,7 @@
             "backend_calls_total": self.attempts_written,
             "inflight": gauges.open_messages,
             "hosts_listed": gauges.endpoints_listed,
-            "hosts_down": gauges.endpoints_avoided,
+            "hosts_down": gauges.endpoints_out_of_rotation,
             "reconfig_ok_total": self.reloads_succeeded,
             "reconfig_failed_total": self.reloads_failed,
         }
--- a/message_relay/server/operations.py
+++ b/message_relay/server/operations.py
@@ -48,8 +48,10 @@
     def render_metrics(self) -> str:
         """The figures, a line for each."""
         entries = self._directory.entries
-        avoided = sum(1 for endpoint in self._policy.avoided_endpoints() if endpoint in entries)
-        return self._metrics.render(Gauges(self._journal.open_count, len(entries), avoided))
+        out_of_rotation = sum(
+            1 for endpoint in self._policy.endpoints_out_of_rotation() if endpoint in entries
+        )
+        return self._metrics.render(Gauges(self._journal.open_count, len(entries), out_of_rotation))
 
     def quiesce(self) -> None:
         """Send clients away."""
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -54,7 +54,7 @@
         for a in sent:
             policy.handle(now + 1000, [AttemptEnded(a.message, 0, a.endpoint, AttemptResult.OK, 1000, True)])
     assert set(endpoints) == {2} and len(endpoints) > 150
-    assert policy.avoided_endpoints() == [1]
+    assert policy.endpoints_out_of_rotation() == [1]
 
 
 def test_uncordoned_endpoint_starts_slowly():
@@ -75,7 +75,7 @@
     slow, policy = calls(EndpointCordoned(1), EndpointCordoned(1), EndpointCordoned(1, False))
     never, _ = calls(EndpointCordoned(1, False))  # it was not cordoned: nothing changes
     assert usual == never == 400 and 0 < slow < usual / 10
-    assert policy.avoided_endpoints() == []
+    assert policy.endpoints_out_of_rotation() == []
 
 
 @with_fleet
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -153,7 +153,7 @@
 
     def inspect(self):
         return [
-            ["avoided", *sorted(self.policy.avoided_endpoints())],
+            ["avoided", *sorted(self.policy.endpoints_out_of_rotation())],
             ["come_back", self.policy.capacity_retry_after_us()],
         ]
 
@@ -273,7 +273,7 @@
                 and policy.endpoints[3].circuit.open
             )
             assert new.retry_after.export_waits() == [(RetryAfterScope(8), 372_336_378)]
-            assert new.policy.avoided_endpoints() == [3, 4, 5]
+            assert new.policy.endpoints_out_of_rotation() == [3, 4, 5]
             # What it would hand on now is what it was handed, and so are the requests of its clients.
             states = [client.export_state() for client in new.clients.connections]
             assert states == clients_frame[1]
