--- a/message_relay/model/settings.py
+++ b/message_relay/model/settings.py
@@ -108,9 +108,7 @@
     rate_limits_advertised: bool = False  # EndpointEntry.rate_limit_per_s means something
     load_report_fields: tuple[str, ...] = ()  # names of LoadReportReceived.values, in order
     over_quota_weight: float = 1.0  # multiplies the weight of traffic over a tenant's quota
-    late_weight_halves: bool = (
-        False  # the weight halves with each further objective, and does not fall evenly
-    )
+    late_weight_decays_exponentially: bool = False  # it halves with each further objective, not evenly
     zone_costs: tuple[float, ...] = ()
     rejected_call_cost: float = 0.0  # of a call over a limit, as a share of a message's weight
 
--- a/message_relay/policy/selection.py
+++ b/message_relay/policy/selection.py
@@ -99,7 +99,7 @@
         return message.weight
     if at_us >= message.deadline_us:
         return 0.0
-    if state.settings.late_weight_halves:
+    if state.settings.late_weight_decays_exponentially:
         return message.weight * max(late_share, math.pow(0.5, late_us / objective_us))
     span_us = max(1, message_class.deadline_us - objective_us)
     return message.weight * (1 - (1 - late_share) * late_us / span_us)
--- a/message_relay/simulator_adapter/settings_json.py
+++ b/message_relay/simulator_adapter/settings_json.py
@@ -118,7 +118,7 @@
         rate_limits_advertised=raw.get("weightSource") in ADVERTISED_RATES,
         load_report_fields=tuple(str(field) for field in raw.get("report", {}).get("fields", [])),
         over_quota_weight=float(raw.get("overShareWorth", 1.0)),
-        late_weight_halves=family.get("late") == "halves",
+        late_weight_decays_exponentially=family.get("late") == "halves",
         clients_mark_retries=bool(raw.get("clients", {}).get("marksRetry", False)),
         rejected_call_cost=float(family.get("refusedPrice", 0.0)),
         zone_costs=tuple(float(cost) for cost in family.get("carriage", [])),
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -86,7 +86,7 @@
         rate_limits_advertised=scenario.get("rates_advertised", False),
         load_report_fields=scenario.get("report", ()),
         over_quota_weight=scenario.get("over_quota_weight", 1.0),
-        late_weight_halves=scenario.get("halves", False),
+        late_weight_decays_exponentially=scenario.get("halves", False),
         zone_costs=scenario.get("zone_costs", ()),
         rejected_call_cost=scenario.get("rejected_cost", 0.0),
     )
