--- a/message_relay/model/settings.py
+++ b/message_relay/model/settings.py
@@ -95,7 +95,7 @@
     tick_interval_us: int = 1000  # least time between two ticks
     max_retry_after_us: int = 0  # longest Retry-After that clients heed; 0: they get none
     clients_mark_retries: bool = False  # MessageSubmitted.resubmitted is filled in
-    connection_idle_us: int = 10_000_000  # endpoints close a connection that was idle for so long
+    connection_idle_timeout_us: int = 10_000_000  # endpoints close a connection that was idle for so long
     connect_timeout_us: int = 1_000_000
     drain_grace_us: int = 0  # an endpoint accepts calls for so long after it began to drain
     slow_start_share: float = 0.1  # share of its capacity that a recovering destination has at first
--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -59,7 +59,7 @@
         newest_us = endpoint.idle_since_us[-1]
         if newest_us > oldest_us:
             call.connection_idle_us = now - newest_us
-        elif newest_us > now - state.settings.connection_idle_us:
+        elif newest_us > now - state.settings.connection_idle_timeout_us:
             state.actions.append(model.CloseIdleConnections(endpoint.id))
     endpoint.idle_since_us = [since_us for since_us in endpoint.idle_since_us if since_us > oldest_us]
     if not call.require_new_connection:
--- a/message_relay/policy/connection_reuse.py
+++ b/message_relay/policy/connection_reuse.py
@@ -42,7 +42,7 @@
     statistics = state.statistics
     if call.connection_idle_us > REUSE_CUT * REUSE_CUT * statistics.idle_reuse_limit_us:
         grown_us = int(statistics.idle_reuse_limit_us * REUSE_GROWTH)
-        statistics.idle_reuse_limit_us = min(state.settings.connection_idle_us, grown_us)
+        statistics.idle_reuse_limit_us = min(state.settings.connection_idle_timeout_us, grown_us)
         statistics.lost_idle_calls = 0
 
 
--- a/message_relay/policy_state/state.py
+++ b/message_relay/policy_state/state.py
@@ -62,7 +62,9 @@
         self.capacity_full = False
         self.rejections_since_resubmission = 0
         self.statistics = CallStatistics(
-            settings.connection_idle_us, [0.0] * len(settings.destination_types), limits.min_lost_call_rate
+            settings.connection_idle_timeout_us,
+            [0.0] * len(settings.destination_types),
+            limits.min_lost_call_rate,
         )
 
     def log(self, text: str) -> None:
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -76,7 +76,7 @@
         self.calls = EndpointCallClient(
             self._loop,
             self.attempts,
-            settings.connection_idle_us,
+            settings.connection_idle_timeout_us,
             settings.connect_timeout_us,
             int(self.configuration.max_descriptors * IDLE_CONNECTION_SHARE),
         )
--- a/message_relay/simulator_adapter/settings_json.py
+++ b/message_relay/simulator_adapter/settings_json.py
@@ -105,7 +105,7 @@
         gossip_allowed=bool(limits.get("peers", False)),
         tick_interval_us=int(raw.get("stepUs", 1000)),
         max_retry_after_us=int(limits.get("maxRetryAfterUs", 0)) if heeds_retry_after else 0,
-        connection_idle_us=int(limits["connIdleUs"]),
+        connection_idle_timeout_us=int(limits["connIdleUs"]),
         connect_timeout_us=int(limits["connectTimeoutUs"]),
         drain_grace_us=int(contract["drainGraceUs"]),
         slow_start_share=float(contract["coldShare"]),
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -32,7 +32,7 @@
 
 
 def test_settings_may_forbid_idle_connections():
-    driver = large_fleet(connection_idle_us=0)
+    driver = large_fleet(connection_idle_timeout_us=0)
     driver.submit()
     assert len(actions_of(CloseIdleConnections, driver.end_attempt(1, AttemptResult.OK))) == 1
 
