--- a/message_relay/model/settings.py
+++ b/message_relay/model/settings.py
@@ -104,7 +104,7 @@
     overload_window_us: int = 1_000_000  # for this long, takes a recovering destination down again
     order_key_pause_us: int = 0  # between an ambiguous failure and the next message of an order key
     answer_slack_us: int = 0
-    endpoint_list_on_request: bool = False  # the list comes only to those that subscribe to it
+    endpoint_list_requires_subscription: bool = False  # the list comes only to those that subscribe to it
     rate_limits_advertised: bool = False  # EndpointEntry.rate_limit_per_s means something
     load_report_fields: tuple[str, ...] = ()  # names of LoadReportReceived.values, in order
     over_quota_weight: float = 1.0  # multiplies the weight of traffic over a tenant's quota
--- a/message_relay/policy/delivery_policy.py
+++ b/message_relay/policy/delivery_policy.py
@@ -39,7 +39,7 @@
         state.now_us, state.actions = now_us, []
         if state.started_at_us < 0:
             state.started_at_us = now_us
-            if state.settings.endpoint_list_on_request:
+            if state.settings.endpoint_list_requires_subscription:
                 state.actions.append(model.SubscribeEndpointList())
         for event in events:
             if handler := self._handlers.get(type(event)):
--- a/message_relay/simulator_adapter/settings_json.py
+++ b/message_relay/simulator_adapter/settings_json.py
@@ -114,7 +114,7 @@
         overload_window_us=int(contract["fallUs"]),
         order_key_pause_us=int(contract.get("keyRestUs", 0)),
         answer_slack_us=int(contract.get("answerSlackUs", 0)),
-        endpoint_list_on_request=raw.get("membershipMode") == "on_request",
+        endpoint_list_requires_subscription=raw.get("membershipMode") == "on_request",
         rate_limits_advertised=raw.get("weightSource") in ADVERTISED_RATES,
         load_report_fields=tuple(str(field) for field in raw.get("report", {}).get("fields", [])),
         over_quota_weight=float(raw.get("overShareWorth", 1.0)),
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -82,7 +82,7 @@
         overload_factor=scenario["multiple"],
         overload_window_us=scenario.get("window", 1_000_000),
         order_key_pause_us=scenario["key_rest"],
-        endpoint_list_on_request=scenario.get("on_request", False),
+        endpoint_list_requires_subscription=scenario.get("on_request", False),
         rate_limits_advertised=scenario.get("rates_advertised", False),
         load_report_fields=scenario.get("report", ()),
         over_quota_weight=scenario.get("over_quota_weight", 1.0),
