--- a/message_relay/server/configuration.py
+++ b/message_relay/server/configuration.py
@@ -30,7 +30,7 @@
     port: int
 
 
-class KnownEndpointList(NamedTuple):
+class CachedEndpointList(NamedTuple):
     """The endpoint list at the time the configuration was written; targets are the entries as they came."""
 
     revision: int
@@ -53,7 +53,7 @@
     seed: int
     max_descriptors: int
     disk_limit_bytes: int
-    known_list: KnownEndpointList
+    cached_list: CachedEndpointList
     settings: Settings
     zones: tuple[str, ...]
     console_address: Address | None = None
@@ -88,7 +88,7 @@
         seed=_seed(document.get("seed", 0)),
         max_descriptors=int(_positive_limit(limits, "sockets", DEFAULT_MAX_DESCRIPTORS)),
         disk_limit_bytes=int(_positive_limit(limits, "disk_mb", DEFAULT_DISK_LIMIT_MB) * BYTES_PER_MB),
-        known_list=_known_list(_object_field(document, "known")),
+        cached_list=_cached_list(_object_field(document, "known")),
         settings=_settings(settings),
         zones=tuple(str(zone) for zone in settings.get("localities") or ()),
         console_address=parse_address(console, "LB_CONSOLE") if console else None,
@@ -148,11 +148,11 @@
     return value
 
 
-def _known_list(known: dict[str, Any]) -> KnownEndpointList:
-    revision, targets = known.get("rev", 0), known.get("targets", [])
+def _cached_list(cached: dict[str, Any]) -> CachedEndpointList:
+    revision, targets = cached.get("rev", 0), cached.get("targets", [])
     if not isinstance(revision, int) or not isinstance(targets, list):
         raise ConfigurationError("known: must hold a whole number rev and a list targets")
-    return KnownEndpointList(revision, targets)
+    return CachedEndpointList(revision, targets)
 
 
 def _settings(document: dict[str, Any]) -> Settings:
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -133,7 +133,7 @@
         self.watch = EndpointWatch(
             self._loop,
             address,
-            self.configuration.known_list.revision,
+            self.configuration.cached_list.revision,
             self._list_changed,
             self.settings.instance_count,
         )
@@ -153,8 +153,8 @@
 
     def prepare(self) -> None:
         """Do what can be done before this process owns anything."""
-        known = self.configuration.known_list
-        self.apply_list(EndpointListChange(known.revision, True, known.targets), EndpointListForm.CACHED)
+        cached = self.configuration.cached_list
+        self.apply_list(EndpointListChange(cached.revision, True, cached.targets), EndpointListForm.CACHED)
         self.watch.start()
 
     async def wait_for_list(self, timeout_s: float) -> None:
