--- a/message_relay/server/final_answers.py
+++ b/message_relay/server/final_answers.py
@@ -48,7 +48,7 @@
             self.end(message, FinalStatus.UNDELIVERABLE)
 
     def end(self, message: AcceptedMessage, status: FinalStatus, retry_after_ms: int = 0) -> None:
-        """Record that the final answer is owed, then send it."""
+        """Record the final answer, then send it."""
         self.count(message.message_class, rejected=status is FinalStatus.DEFERRED)
         try:
             self._journal.record_final(message.number, status, retry_after_ms)
--- a/message_relay/server/journal/index.py
+++ b/message_relay/server/journal/index.py
@@ -11,7 +11,7 @@
     AttemptNotApplied,
     AttemptStarted,
     EndpointCordonChanged,
-    FinalOwed,
+    FinalAnswerRecorded,
     FinalStatus,
     JournalRecord,
     JournalSummary,
@@ -26,7 +26,7 @@
 
 
 class JournalIndex:
-    """Open messages, owed notices, cordons, and what is still known of finished messages.
+    """Open messages, pending final answers, cordons, and what is still known of finished messages.
 
     Records are applied in the order of the file, both when they are written and when they are restored.
     """
@@ -71,7 +71,7 @@
                 self._revoke_attempt(record)
             case MessagesCompleted():
                 self._complete(record)
-            case FinalOwed():
+            case FinalAnswerRecorded():
                 message = self.messages.get(record.number)
                 if message is not None:
                     self.mark_final(message, record.status, record.retry_after_ms)
@@ -81,7 +81,7 @@
                 self._restore_summary(record)
 
     def mark_final(self, message: AcceptedMessage, status: FinalStatus, retry_after_ms: int) -> None:
-        """Give the message its outcome: only the notice is owed from now on, so the body is dropped."""
+        """Give the message its final answer; only that is pending from now on, so the body is dropped."""
         self._close(message)
         self.open_bytes -= len(message.body)
         message.final_status = status
--- a/message_relay/server/journal/journal.py
+++ b/message_relay/server/journal/journal.py
@@ -20,7 +20,7 @@
     AttemptNotApplied,
     AttemptStarted,
     EndpointCordonChanged,
-    FinalOwed,
+    FinalAnswerRecorded,
     FinalStatus,
     JournalRecord,
     MessageAccepted,
@@ -158,8 +158,8 @@
         self._write(MessagesCompleted(numbers, time.time()))
 
     def record_final(self, number: int, status: FinalStatus, retry_after_ms: int) -> None:
-        """Record that the message has its outcome and that the notice of it is owed."""
-        self._write(FinalOwed(number, status, retry_after_ms))
+        """Record the message's final answer, which is pending until discovery accepts it."""
+        self._write(FinalAnswerRecorded(number, status, retry_after_ms))
 
     def record_cordon(self, uid: str, cordoned: bool) -> None:
         """Record that operators cordoned an endpoint or lifted its cordon."""
--- a/message_relay/server/journal/records.py
+++ b/message_relay/server/journal/records.py
@@ -24,7 +24,7 @@
 ATTEMPT_STARTED = "try"
 ATTEMPT_NOT_APPLIED = "miss"
 COMPLETED = "over"
-FINAL_OWED = "final"
+FINAL_ANSWER_RECORDED = "final"
 CORDON_CHANGED = "cordon"
 SUMMARY = "known"
 
@@ -176,8 +176,8 @@
         return cls(values[1], values[2])
 
 
-class FinalOwed(NamedTuple):
-    """The message has its outcome, and the notice of it is owed."""
+class FinalAnswerRecorded(NamedTuple):
+    """The message has its final answer, which discovery has not accepted yet."""
 
     number: int
     status: FinalStatus
@@ -185,10 +185,10 @@
 
     def to_stored(self) -> StoredValues:
         """Return the record's stored form."""
-        return [FINAL_OWED, self.number, self.status.value, self.retry_after_ms]
+        return [FINAL_ANSWER_RECORDED, self.number, self.status.value, self.retry_after_ms]
 
     @classmethod
-    def from_stored(cls, values: StoredValues) -> FinalOwed:
+    def from_stored(cls, values: StoredValues) -> FinalAnswerRecorded:
         """Build the record from its stored form; raises `ValueError` for an unknown status."""
         return cls(values[1], FinalStatus(values[2]), values[3])
 
@@ -238,7 +238,7 @@
     | AttemptStarted
     | AttemptNotApplied
     | MessagesCompleted
-    | FinalOwed
+    | FinalAnswerRecorded
     | EndpointCordonChanged
     | JournalSummary
 )
@@ -248,7 +248,7 @@
     ATTEMPT_STARTED: AttemptStarted.from_stored,
     ATTEMPT_NOT_APPLIED: AttemptNotApplied.from_stored,
     COMPLETED: MessagesCompleted.from_stored,
-    FINAL_OWED: FinalOwed.from_stored,
+    FINAL_ANSWER_RECORDED: FinalAnswerRecorded.from_stored,
     CORDON_CHANGED: EndpointCordonChanged.from_stored,
     SUMMARY: JournalSummary.from_stored,
 }
