--- a/message_relay/server/hot_restart/old_process.py
+++ b/message_relay/server/hot_restart/old_process.py
@@ -40,7 +40,7 @@
 
     journal: Journal
 
-    def handover_obstacle(self) -> str:
+    def handover_blocked_reason(self) -> str:
         """Why it may not hand over, empty if it may."""
 
     def export_state(self, report: Callable[[Report], None]) -> HandedOver:
@@ -123,7 +123,7 @@
 
     def _answer_request(self, request: HandoverRequested) -> None:
         assert self.channel is not None
-        reason = self._source.handover_obstacle()
+        reason = self._source.handover_blocked_reason()
         if request.version != VERSION:
             reason = "another version"
         if reason:
--- a/message_relay/server/hot_restart/state_transfer.py
+++ b/message_relay/server/hot_restart/state_transfer.py
@@ -129,9 +129,9 @@
 
     # As the old process
 
-    def handover_obstacle(self) -> str:
+    def handover_blocked_reason(self) -> str:
         """Why this process may not hand over, empty if it may."""
-        return self._server.lifecycle.handover_obstacle()
+        return self._server.lifecycle.handover_blocked_reason()
 
     def export_state(self, report: Callable[[Report], None]) -> HandedOver:
         """Stop serving: nothing is accepted, read, begun or recorded from here on.
--- a/message_relay/server/lifecycle.py
+++ b/message_relay/server/lifecycle.py
@@ -67,7 +67,7 @@
             return "quiesced"
         return "" if self.serving else "starting"
 
-    def handover_obstacle(self) -> str:
+    def handover_blocked_reason(self) -> str:
         """Why this process may not hand over, empty if it may."""
         if self._shutting_down:
             return "ending"
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -68,7 +68,7 @@
     assert await client.put("m", dest=9) == "+OK"
     new = pair.prepare_new_process()
     starting = asyncio.ensure_future(new_process.take_over(pair.loop, new, pair.path))
-    pair.old_process.transfer.handover_obstacle = lambda: "not yet"
+    pair.old_process.transfer.handover_blocked_reason = lambda: "not yet"
     while not new._list_received.is_set():
         await asyncio.sleep(0.001)
     await asyncio.sleep(0.1)
