--- a/message_relay/server/hot_restart/new_process.py
+++ b/message_relay/server/hot_restart/new_process.py
@@ -1,4 +1,4 @@
-"""The new process's side of a hot restart: it asks the old one for everything, or starts from the journal."""
+"""The new process's side of a hot restart: it requests a handover, or starts from the journal."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     RetryAfterReport,
     StateHandedOver,
 )
-from message_relay.server.hot_restart.snapshot import HandedClient, HandedOver, ServerSnapshot
+from message_relay.server.hot_restart.snapshot import HandoverState, ServerSnapshot, TransferredClient
 from message_relay.server.journal import Journal, JournalLockedError
 
 LIST_TIMEOUT_S = 0.6  # time for a first word of discovery, before the old process is asked
@@ -43,7 +43,7 @@
     async def wait_for_list(self, timeout_s: float) -> None:
         """Wait for a first word of discovery."""
 
-    async def begin_serving(self, handed_over: HandedOver | None = None) -> int:
+    async def begin_serving(self, handed_over: HandoverState | None = None) -> int:
         """Restore and serve; returns the port."""
 
     def report_received(self, report: Report) -> None:
@@ -54,7 +54,7 @@
 
 
 class HotRestartRequester:
-    """Asks the old process once."""
+    """Requests the handover from the old process once."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         self._client_states: list[list[Any]] = []
         self._descriptor_count = 0
 
-    async def ask(self) -> bool:
+    async def request_handover(self) -> bool:
         """Whether everything was handed over; then the lock is about to be free."""
         sock = None
         try:
@@ -115,7 +115,7 @@
             self._state is not None and descriptors == self._descriptor_count == len(self._client_states) + 1
         )
 
-    def take_ownership(self) -> HandedOver:
+    def take_ownership(self) -> HandoverState:
         """Say that this process holds the lock. Returns what was handed over."""
         assert self.channel is not None
         assert self._state is not None
@@ -124,10 +124,10 @@
         self.channel.send(OwnershipTaken())
         listener_fd, *client_fds = descriptors
         clients = [
-            HandedClient(descriptor, state)
+            TransferredClient(descriptor, state)
             for descriptor, state in zip(client_fds, self._client_states, strict=True)
         ]
-        return HandedOver(self._state, listener_fd, clients)
+        return HandoverState(self._state, listener_fd, clients)
 
     def _lost(self) -> None:
         if not self._complete.done():
@@ -161,7 +161,7 @@
             waited_for_list = True
         requester = HotRestartRequester(loop, path, target.report_received, target.reports_ended)
         try:
-            if await requester.ask() and await _acquire(target.journal):
+            if await requester.request_handover() and await _acquire(target.journal):
                 # First of all: were it lost after a record of this process, the old one's would stand behind.
                 handed_over = requester.take_ownership()
                 log.info("hot restart: this process owns, clients=%d", len(handed_over.clients))
--- a/message_relay/server/hot_restart/old_process.py
+++ b/message_relay/server/hot_restart/old_process.py
@@ -24,7 +24,7 @@
     Report,
     StateHandedOver,
 )
-from message_relay.server.hot_restart.snapshot import VERSION, HandedOver
+from message_relay.server.hot_restart.snapshot import VERSION, HandoverState
 from message_relay.server.journal import Journal, JournalLockedError
 
 CLIENTS_PER_FRAME = 64  # the kernel takes 253 descriptors at once
@@ -43,7 +43,7 @@
     def handover_blocked_reason(self) -> str:
         """Why it may not hand over, empty if it may."""
 
-    def export_state(self, report: Callable[[Report], None]) -> HandedOver:
+    def export_state(self, report: Callable[[Report], None]) -> HandoverState:
         """Stop serving and give everything; outcomes of calls in flight are reported."""
 
     def resume_serving(self) -> None:
--- a/message_relay/server/hot_restart/snapshot.py
+++ b/message_relay/server/hot_restart/snapshot.py
@@ -68,16 +68,16 @@
         )
 
 
-class HandedClient(NamedTuple):
+class TransferredClient(NamedTuple):
     """A client's connection and what was read from it (see ClientConnection.export_state)."""
 
     descriptor: int
     state: list[Any]
 
 
-class HandedOver(NamedTuple):
+class HandoverState(NamedTuple):
     """All that is handed over: the state, the listening socket and the clients' connections."""
 
     state: ServerSnapshot
     listener_fd: int | None
-    clients: list[HandedClient]
+    clients: list[TransferredClient]
--- a/message_relay/server/hot_restart/state_transfer.py
+++ b/message_relay/server/hot_restart/state_transfer.py
@@ -21,10 +21,10 @@
 from message_relay.server.hot_restart.frames import AttemptEndedReport, LoadReport, Report, RetryAfterReport
 from message_relay.server.hot_restart.snapshot import (
     CallInFlight,
-    HandedClient,
-    HandedOver,
+    HandoverState,
     RetryAfterWait,
     ServerSnapshot,
+    TransferredClient,
 )
 from message_relay.server.journal import Journal
 from message_relay.server.lifecycle import Lifecycle
@@ -133,7 +133,7 @@
         """Why this process may not hand over, empty if it may."""
         return self._server.lifecycle.handover_blocked_reason()
 
-    def export_state(self, report: Callable[[Report], None]) -> HandedOver:
+    def export_state(self, report: Callable[[Report], None]) -> HandoverState:
         """Stop serving: nothing is accepted, read, begun or recorded from here on.
 
         Outcomes of calls in flight are reported. The journal's lock is free afterwards.
@@ -151,11 +151,11 @@
         connections = server.clients.connections
         self._moving = [connection for connection in connections if connection.transferable]
         listener = server.clients.listening_socket
-        handed_over = HandedOver(
+        handed_over = HandoverState(
             self._snapshot(),
             listener.fileno() if listener is not None else None,
             [
-                HandedClient(connection.sock.fileno(), connection.export_state())
+                TransferredClient(connection.sock.fileno(), connection.export_state())
                 for connection in self._moving
             ],
         )
@@ -206,7 +206,7 @@
         server.clients.stop_listening()
         for connection in self._moving:
             connection.close()
-        server.lifecycle.leave()
+        server.lifecycle.drain_after_handover()
 
     # As the new process
 
--- a/message_relay/server/lifecycle.py
+++ b/message_relay/server/lifecycle.py
@@ -148,12 +148,12 @@
         if self._shutting_down and not waiting and not clients:
             self._exit()
 
-    def leave(self) -> None:
+    def drain_after_handover(self) -> None:
         """After a handover: end once the calls in flight are over and reported."""
         for connection in list(self._clients.connections):
             connection.close_when_idle()
         if self._calls.in_flight or self._clients.connections or not self.reports_sent():
-            self._loop.call_later(CLOSE_INTERVAL_S, self.leave)
+            self._loop.call_later(CLOSE_INTERVAL_S, self.drain_after_handover)
         else:
             self._exit()
 
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -18,7 +18,7 @@
 from message_relay.server.event_queue import EventQueue
 from message_relay.server.final_answers import FinalAnswers
 from message_relay.server.hot_restart.frames import Report
-from message_relay.server.hot_restart.snapshot import HandedOver
+from message_relay.server.hot_restart.snapshot import HandoverState
 from message_relay.server.hot_restart.state_transfer import StateTransfer
 from message_relay.server.journal import AcceptedMessage, Journal
 from message_relay.server.lifecycle import Lifecycle
@@ -169,7 +169,7 @@
         self.journal.acquire()
         return await self.begin_serving()
 
-    async def begin_serving(self, handed_over: HandedOver | None = None) -> int:
+    async def begin_serving(self, handed_over: HandoverState | None = None) -> int:
         """Restore, run the first tick, then listen: clients are accepted from here on. Returns the port.
 
         The journal is this process's. ``handed_over`` is what the old process passed on, where there is one.
@@ -194,7 +194,7 @@
             self.events.add_without_tick(submitted_event(message, restored=True))
         self.answers.watch_deadline(message)
 
-    async def _listen(self, handed_over: HandedOver | None) -> int:
+    async def _listen(self, handed_over: HandoverState | None) -> int:
         descriptor = self.configuration.listen_fd
         if handed_over and handed_over.listener_fd is not None:
             if descriptor < 0:
--- a/tests/test_hot_restart_processes.py
+++ b/tests/test_hot_restart_processes.py
@@ -52,11 +52,11 @@
         left.bind(name)
     left.close()  # the file stays, as after SIGKILL
     requester = new_process.HotRestartRequester(loop, path, print, print)
-    assert not await bounded(requester.ask())
+    assert not await bounded(requester.request_handover())
     listener = old_process.HotRestartListener(loop, fleet.relay.transfer, path)
     listener.listen()
     second_requester = new_process.HotRestartRequester(loop, path, print, print)
-    assert await bounded(second_requester.ask())
+    assert await bounded(second_requester.request_handover())
     second_requester.close()
     listener.close()
     assert not path.exists()
@@ -85,7 +85,7 @@
         listener.listen()
         assert listener.sock is None
         assert not await bounded(
-            new_process.HotRestartRequester(loop, tmp_path / "hand.sock", print, print).ask()
+            new_process.HotRestartRequester(loop, tmp_path / "hand.sock", print, print).request_handover()
         )
         assert await client.put("m") == "+OK" and (await endpoint.call())[1]["x-request-id"] == "m"
         listener.close()
