--- a/message_relay/server/attempt_runner.py
+++ b/message_relay/server/attempt_runner.py
@@ -21,7 +21,7 @@
 from message_relay.server.endpoint_calls import AttemptOutcome, CallAttempt, EndpointCallClient
 from message_relay.server.endpoint_directory import EndpointDirectory
 from message_relay.server.event_queue import EventQueue
-from message_relay.server.final_answers import FinalAnswers, record_harmless
+from message_relay.server.final_answers import FinalAnswers, record_best_effort
 from message_relay.server.journal import Journal
 from message_relay.server.metrics import Metrics
 from message_relay.server.retry_after import RetryAfterTable
@@ -171,10 +171,10 @@
         if message and not message.final_status and outcome.result is AttemptResult.OK:
             self._metrics.record_delivered(message.message_class)
         if outcome.message_ended and message:
-            record_harmless(self._journal.record_completed, [number])
+            record_best_effort(self._journal.record_completed, [number])
             self._answers.stop_deadline(number)
         elif message and attempt.started and outcome.result in NOT_APPLIED:
-            record_harmless(self._record_not_applied, [number])
+            record_best_effort(self._record_not_applied, [number])
         if message_ended:
             self.next_attempts.pop(number, None)
         self._events.add(
--- a/message_relay/server/final_answers.py
+++ b/message_relay/server/final_answers.py
@@ -98,11 +98,11 @@
 
     def record_notified(self, numbers: list[int]) -> None:
         """Notices were accepted: nothing more is owed for these messages."""
-        record_harmless(self._journal.record_completed, numbers)
+        record_best_effort(self._journal.record_completed, numbers)
 
 
-def record_harmless(write: Callable[[list[int]], None], numbers: list[int]) -> None:
-    """Write a record whose loss does no harm: a restart then takes the more careful view."""
+def record_best_effort(write: Callable[[list[int]], None], numbers: list[int]) -> None:
+    """Write a record as a best effort: if it is lost, a restart takes the more careful view."""
     try:
         write(numbers)
     except OSError as error:
