--- a/message_relay/policy/final_answer.py
+++ b/message_relay/policy/final_answer.py
@@ -10,7 +10,7 @@
 def finish(state: PolicyState, message: Message, retry_after_us: int = 0) -> None:
     """End a message: reject it if earlier attempts prove that another one does no harm, else fail it."""
     left_us, longest_us = message.deadline_us - state.now_us, state.settings.max_retry_after_us
-    if not _repeat_harmless(message):
+    if not _resubmission_is_safe(message):
         state.actions.append(FailMessage(message.id))
     else:
         if left_us > max(longest_us, message.message_class.latency_objective_us):
@@ -22,7 +22,7 @@
     state.close_message(message)
 
 
-def _repeat_harmless(message: Message) -> bool:
+def _resubmission_is_safe(message: Message) -> bool:
     message_class = message.message_class
     not_applied = message.possibly_applied_at_us < 0 and not message.in_flight
     keyed = message_class.idempotency is Idempotency.KEYED and message_class.key_scope is KeyScope.ALL
