--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -10,7 +10,7 @@
     selection,
     timeouts,
 )
-from message_relay.policy.slow_start import SHORT_FAULT_US
+from message_relay.policy.slow_start import MAX_TRANSIENT_FAULT_US
 from message_relay.policy_state import Call, Endpoint, Message, PolicyState
 
 FAST_FAILURE_US = 200_000  # a first attempt that failed this soon may be retried at once, outage or not
@@ -124,7 +124,7 @@
         if event.result is not AttemptResult.REJECTED:
             timeouts.record_slot_occupancy(state, group, event.latency_us)
         # A malformed response is no fault of the endpoint by itself.
-        if not event.malformed or state.now_us - endpoint.last_success_at_us > SHORT_FAULT_US:
+        if not event.malformed or state.now_us - endpoint.last_success_at_us > MAX_TRANSIENT_FAULT_US:
             outlier_detection.record_call_outcome(state, call, event)
     if call.open_attempts:
         return
--- a/message_relay/policy/circuit_breaker.py
+++ b/message_relay/policy/circuit_breaker.py
@@ -56,7 +56,7 @@
     return result is not AttemptResult.TIMEOUT or circuit.failure_rate >= TWO_FAILURES_RATE
 
 
-def record_success(state: PolicyState, endpoint: Endpoint, short_fault: bool) -> None:
+def record_success(state: PolicyState, endpoint: Endpoint, transient_fault: bool) -> None:
     """Close the circuit; after an outage the endpoint starts slowly."""
     circuit = endpoint.circuit
     if not circuit.open:
@@ -64,8 +64,8 @@
             circuit.slow_start_since_us = -1
         return
     circuit.open = False
-    if short_fault and not state.large_fleet:
-        state.log(f"circuit closed: it was a short fault, endpoint={endpoint.id}")
+    if transient_fault and not state.large_fleet:
+        state.log(f"circuit closed: it was a transient fault, endpoint={endpoint.id}")
     elif not state.large_fleet or circuit.failure_rate >= TWO_FAILURES_RATE * (1 - FAILURE_MEMORY):
         circuit.slow_start_since_us = circuit.bucket.updated_at_us = state.now_us
         if not state.large_fleet:  # a whole token each, on top of the half-open attempts, is too much
--- a/message_relay/policy/outlier_detection.py
+++ b/message_relay/policy/outlier_detection.py
@@ -10,7 +10,7 @@
     timeouts,
 )
 from message_relay.policy.circuit_breaker import FAILURE_MEMORY
-from message_relay.policy.slow_start import SHORT_FAULT_US
+from message_relay.policy.slow_start import MAX_TRANSIENT_FAULT_US
 from message_relay.policy_state import Call, Endpoint, EndpointGroup, PolicyState
 
 AMBIGUOUS_FADE_SHARE = 0.6  # the share of ambiguous failures fades in this part of the slow start's time
@@ -41,7 +41,7 @@
     """Rejected on a new connection while reused ones are answered: the connection limit, not a rate limit."""
     if event.result is not AttemptResult.REJECTED or event.retry_after_us or state.large_fleet:
         return False
-    answers = state.now_us - call.endpoint.last_success_at_us < SHORT_FAULT_US
+    answers = state.now_us - call.endpoint.last_success_at_us < MAX_TRANSIENT_FAULT_US
     return call.connection_idle_us < 0 and answers and not call.endpoint_was_idle
 
 
@@ -51,7 +51,7 @@
     since_success_us = state.now_us - endpoint.last_success_at_us
     if event.result is AttemptResult.RESET:
         # An idle connection had died, if the endpoint answers on others.
-        return call.connection_idle_us < 0 or since_success_us >= SHORT_FAULT_US
+        return call.connection_idle_us < 0 or since_success_us >= MAX_TRANSIENT_FAULT_US
     if event.result is AttemptResult.REJECTED:
         rate_limiter.record_rejection(state, group)
         rate_limiter.record_overload(state, group, event.retry_after_us)
@@ -100,7 +100,7 @@
 
 def _record_success(state: PolicyState, endpoint: Endpoint, latency_us: int) -> None:
     group = endpoint.group
-    short_fault = state.now_us - endpoint.last_success_at_us < SHORT_FAULT_US
+    transient_fault = state.now_us - endpoint.last_success_at_us < MAX_TRANSIENT_FAULT_US
     concurrency_window.raise_connection_limit(state, endpoint)
     endpoint.last_success_at_us = state.now_us
     endpoint.failure_rate *= 1 - FAILURE_MEMORY
@@ -114,7 +114,7 @@
     concurrency_window.grow(state, group)
     recovery_budget.record_success(state, group)
     rate_limiter.grow(state, group)
-    circuit_breaker.record_success(state, endpoint, short_fault)
+    circuit_breaker.record_success(state, endpoint, transient_fault)
 
 
 def _count_success(state: PolicyState, group: EndpointGroup) -> None:
--- a/message_relay/policy/recovery_budget.py
+++ b/message_relay/policy/recovery_budget.py
@@ -8,7 +8,7 @@
 
 from message_relay.model import EndpointState
 from message_relay.policy.circuit_breaker import FAILURES_TO_OPEN, FORGIVEN_FAILURE_RATE
-from message_relay.policy.slow_start import SHORT_FAULT_US, traffic_share_per_s
+from message_relay.policy.slow_start import MAX_TRANSIENT_FAULT_US, traffic_share_per_s
 from message_relay.policy_state import EndpointGroup, PolicyState
 
 MIN_RATE_PER_S = 0.001
@@ -31,7 +31,7 @@
 
 def _answers(state: PolicyState, group: EndpointGroup) -> bool:
     return any(
-        state.now_us - endpoint.last_success_at_us < SHORT_FAULT_US
+        state.now_us - endpoint.last_success_at_us < MAX_TRANSIENT_FAULT_US
         or endpoint.last_failure_at_us <= endpoint.last_success_at_us
         for endpoint in group.endpoints.values()
         if endpoint.state is EndpointState.READY
--- a/message_relay/policy/slow_start.py
+++ b/message_relay/policy/slow_start.py
@@ -2,7 +2,9 @@
 
 from message_relay.policy_state import CircuitBreaker, Endpoint, EndpointGroup, PolicyState
 
-SHORT_FAULT_US = 1_000_000  # trouble that lasted no longer, with answers before and after, was no outage
+MAX_TRANSIENT_FAULT_US = (
+    1_000_000  # trouble that lasted no longer, with answers before and after, was no outage
+)
 SAFE_OVERLOAD_SHARE = 0.8  # of the overload factor is used: the rest is for chance
 ASSUMED_HEADROOM = 2.0  # a capacity that is not advertised is taken for this multiple of the traffic seen
 MIN_TARGET_RATE_PER_S = 0.5
@@ -11,7 +13,7 @@
 
 def traffic_share_per_s(state: PolicyState, group: EndpointGroup) -> float:
     """Calls a second that this instance usually sends there: of all instances, they sum to the total."""
-    least_us = state.settings.slow_start_us if state.large_fleet else SHORT_FAULT_US
+    least_us = state.settings.slow_start_us if state.large_fleet else MAX_TRANSIENT_FAULT_US
     observed_us = max(state.now_us - state.started_at_us, least_us, 1)
     return group.advertised_rate_per_s or group.destination.arrivals / observed_us * 1e6
 
