--- a/message_relay/model/events.py
+++ b/message_relay/model/events.py
@@ -23,13 +23,13 @@
     destination: int
     state: EndpointState
     rate_limit_per_s: float = 0.0  # calls of all instances together, where rate limits are advertised
-    kind: int = 0
+    type_index: int = 0
     zone: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListReceived:
-    """The endpoint list or a change of it. A cached list belongs into the first turn."""
+    """The endpoint list or a change of it. A cached list belongs into the first tick."""
 
     form: EndpointListForm
     entries: tuple[EndpointEntry, ...] = ()
--- a/message_relay/model/settings.py
+++ b/message_relay/model/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one relay instance: message classes, destination kinds, tenants, limits.
+"""Settings of one relay instance: message classes, destination types, tenants, limits.
 
 Times ending in ``_us`` are microseconds, rates ending in ``_per_s`` are a second. A value out of its range
 raises ``ValueError`` with the name of the field and what is allowed.
@@ -65,15 +65,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DestinationKind:
-    """What destinations of one kind have in common."""
+class DestinationType:
+    """What destinations of one type have in common."""
 
     name: str
     independent_endpoints: bool = False  # each endpoint has a rate limit, Retry-After and outages of its own
-    max_batch_size: int = 1  # messages of one turn to one endpoint that may travel as one call
+    max_batch_size: int = 1  # messages of one tick to one endpoint that may travel as one call
 
     def __post_init__(self) -> None:
-        _require(self.max_batch_size >= 1, f"kinds.{self.name}.max_batch_size", "1 or more")
+        _require(self.max_batch_size >= 1, f"destination_types.{self.name}.max_batch_size", "1 or more")
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
     classes: tuple[MessageClass, ...]
     call_slots: int  # calls that may be in flight at once
     max_open_messages: int  # messages that may be open at once, sent or not
-    kinds: tuple[DestinationKind, ...] = (DestinationKind("any"),)
+    destination_types: tuple[DestinationType, ...] = (DestinationType("any"),)
     tenants: tuple[Tenant, ...] = ()
     instance_count: int = 1  # instances that share the traffic
     instance_index: int = 0
@@ -92,10 +92,10 @@
     health_checks_allowed: bool = False
     cancellation_allowed: bool = False
     gossip_allowed: bool = False
-    turn_interval_us: int = 1000  # least time between two turns
+    tick_interval_us: int = 1000  # least time between two ticks
     max_retry_after_us: int = 0  # longest Retry-After that clients heed; 0: they get none
     clients_mark_retries: bool = False  # MessageSubmitted.resubmitted is filled in
-    connection_idle_us: int = 10_000_000  # endpoints close a connection that was idle for so long
+    connection_idle_timeout_us: int = 10_000_000  # endpoints close a connection that was idle for so long
     connect_timeout_us: int = 1_000_000
     drain_grace_us: int = 0  # an endpoint accepts calls for so long after it began to drain
     slow_start_share: float = 0.1  # share of its capacity that a recovering destination has at first
@@ -104,26 +104,24 @@
     overload_window_us: int = 1_000_000  # for this long, takes a recovering destination down again
     order_key_pause_us: int = 0  # between an ambiguous failure and the next message of an order key
     answer_slack_us: int = 0
-    endpoint_list_on_request: bool = False  # the list comes only to those that subscribe to it
+    endpoint_list_requires_subscription: bool = False  # the list comes only to those that subscribe to it
     rate_limits_advertised: bool = False  # EndpointEntry.rate_limit_per_s means something
     load_report_fields: tuple[str, ...] = ()  # names of LoadReportReceived.values, in order
     over_quota_weight: float = 1.0  # multiplies the weight of traffic over a tenant's quota
-    late_weight_halves: bool = (
-        False  # the weight halves with each further objective, and does not fall evenly
-    )
+    late_weight_decays_exponentially: bool = False  # it halves with each further objective, not evenly
     zone_costs: tuple[float, ...] = ()
     rejected_call_cost: float = 0.0  # of a call over a limit, as a share of a message's weight
 
     def __post_init__(self) -> None:
         _require_times(self, "")
         _require(len(self.classes) > 0, "classes", "at least one class")
-        _require(len(self.kinds) > 0, "kinds", "at least one kind")
+        _require(len(self.destination_types) > 0, "destination_types", "at least one destination type")
         at_least_one = (
             "call_slots",
             "max_open_messages",
             "instance_count",
             "max_attempts",
-            "turn_interval_us",
+            "tick_interval_us",
         )
         for name in at_least_one:
             _require(getattr(self, name) >= 1, name, "1 or more")
--- a/message_relay/policy/admission.py
+++ b/message_relay/policy/admission.py
@@ -18,7 +18,7 @@
         return
     state.sequence += 1
     if event.resubmitted:
-        state.unreturned_rejections = 0
+        state.rejections_since_resubmission = 0
     message_class, destination = (
         state.settings.classes[event.message_class],
         state.destination(event.destination),
@@ -76,7 +76,7 @@
         rate = sum(group.rate_limit_per_s for group in groups)
         ahead = len(destination.queue) - sum(rate_limiter.tokens(state, group) for group in groups)
         return float(ahead / rate * 1e6 > MAX_QUEUE_SHARE * left_us)
-    lent = state.statistics.rejection_rates[destination.kind] ** 2  # to groups that had no calls yet
+    lent = state.statistics.rejection_rates[destination.type_index] ** 2  # to groups that had no calls yet
     shares = [
         group.rejection_rate if group.rejection_rate or group.last_success_at_us else lent
         for group in groups
@@ -98,9 +98,9 @@
 def _shedding_rank(state: PolicyState, message: Message) -> tuple[bool, bool, float, int]:
     """The least goes first: never attempted, of little weight now, the newest."""
     weight = selection.weight_at(state, message, state.now_us)
-    return message.possibly_applied_at_us >= 0, message.restored_untried, weight, -message.sequence
+    return message.possibly_applied_at_us >= 0, message.restored_unattempted, weight, -message.sequence
 
 
-def come_back_us(state: PolicyState) -> int:
+def capacity_retry_after_us(state: PolicyState) -> int:
     """A Retry-After for a message that there is no capacity for: spread by chance."""
     return int(state.settings.max_retry_after_us * state.random.uniform(0.5, 1))
--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -10,7 +10,7 @@
     selection,
     timeouts,
 )
-from message_relay.policy.slow_start import SHORT_FAULT_US
+from message_relay.policy.slow_start import MAX_TRANSIENT_FAULT_US
 from message_relay.policy_state import Call, Endpoint, Message, PolicyState
 
 FAST_FAILURE_US = 200_000  # a first attempt that failed this soon may be retried at once, outage or not
@@ -27,14 +27,14 @@
         candidate = selected.pop(number)
         _send_call(state, candidate.message, candidate.endpoint)
         destination = state.destinations[number]
-        single = state.settings.kinds[destination.kind].max_batch_size == 1
+        single = state.settings.destination_types[destination.type_index].max_batch_size == 1
         if destination.queue and single and (following := selection.select(state, destination)):
             selected[number] = following
 
 
 def _send_call(state: PolicyState, message: Message, endpoint: Endpoint) -> None:
     group, circuit = endpoint.group, endpoint.circuit
-    call = Call(endpoint, state.now_us, only_call=not endpoint.in_flight)
+    call = Call(endpoint, state.now_us, endpoint_was_idle=not endpoint.in_flight)
     state.count_in_flight(call, 1)
     endpoint.in_flight[id(call)] = call
     single = message.message_class.idempotency is model.Idempotency.NON_IDEMPOTENT
@@ -59,7 +59,7 @@
         newest_us = endpoint.idle_since_us[-1]
         if newest_us > oldest_us:
             call.connection_idle_us = now - newest_us
-        elif newest_us > now - state.settings.connection_idle_us:
+        elif newest_us > now - state.settings.connection_idle_timeout_us:
             state.actions.append(model.CloseIdleConnections(endpoint.id))
     endpoint.idle_since_us = [since_us for since_us in endpoint.idle_since_us if since_us > oldest_us]
     if not call.require_new_connection:
@@ -86,8 +86,8 @@
     if event.retry_after_us:  # heeded for each message: those of one batch may bring different ones
         until_us = state.now_us + event.retry_after_us + RETRY_AFTER_ROUNDING_US
         group.retry_after_until_us = max(group.retry_after_until_us, until_us)
-    _judge_call(state, call, event)
-    state.forget_if_unused(call.endpoint)
+    _record_call_outcome(state, call, event)
+    state.remove_if_unused(call.endpoint)
     ambiguous = event.result in (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
     if ambiguous and message.order_key and state.settings.order_key_pause_us:
         state.order_pauses[message.order_key] = state.now_us + state.settings.order_key_pause_us
@@ -117,20 +117,20 @@
             state.actions.append(model.CloseIdleConnections(endpoint.id))
 
 
-def _judge_call(state: PolicyState, call: Call, event: model.AttemptEnded) -> None:
+def _record_call_outcome(state: PolicyState, call: Call, event: model.AttemptEnded) -> None:
     endpoint, group, circuit = call.endpoint, call.endpoint.group, call.endpoint.circuit
-    if not call.judged and not _is_silent(call, event):
-        call.judged = True
+    if not call.outcome_recorded and not _is_silent(call, event):
+        call.outcome_recorded = True
         if event.result is not AttemptResult.REJECTED:
             timeouts.record_slot_occupancy(state, group, event.latency_us)
         # A malformed response is no fault of the endpoint by itself.
-        if not event.malformed or state.now_us - endpoint.last_success_at_us > SHORT_FAULT_US:
-            outlier_detection.judge(state, call, event)
+        if not event.malformed or state.now_us - endpoint.last_success_at_us > MAX_TRANSIENT_FAULT_US:
+            outlier_detection.record_call_outcome(state, call, event)
     if call.open_attempts:
         return
     if circuit.half_open_call is call:
         circuit.half_open_call = None
-    if not call.judged and event.result is AttemptResult.NOT_ATTEMPTED:  # no call came of it
+    if not call.outcome_recorded and event.result is AttemptResult.NOT_ATTEMPTED:  # no call came of it
         group.bucket.tokens += 1.0
         circuit.bucket.tokens = min(1.0, circuit.bucket.tokens + 1.0)
         group.recovery.bucket.tokens += 1.0
@@ -147,13 +147,13 @@
     not_attempted = event.result is AttemptResult.NOT_ATTEMPTED
     wait_us = 0 if not_attempted else retry.backoff_us(state, message.attempts - 1)
     last_start_us = retry.last_start_us(state, message)
-    overloaded = event.result is AttemptResult.REJECTED and not call.connection_table_full
+    overloaded = event.result is AttemptResult.REJECTED and not call.connection_limit_reached
     if overloaded and not retry.outlasts_rejection(state, message):
         final_answer.finish(state, message, event.retry_after_us)
     elif message.attempts >= state.max_attempts or state.now_us + wait_us >= last_start_us:
         final_answer.finish(state, message)
     else:
-        if last_start_us < message.deadline_us - state.margin_us:
+        if last_start_us < message.deadline_us - state.deadline_margin_us:
             state.schedule_expiry(last_start_us, message)
         message.ready_at_us = state.now_us + wait_us
         message.fast_retry = message.attempts == 1 and event.latency_us < FAST_FAILURE_US
--- a/message_relay/policy/delivery_policy.py
+++ b/message_relay/policy/delivery_policy.py
@@ -1,4 +1,4 @@
-"""The delivery policy of one relay instance: the events of a turn in, its actions out."""
+"""The delivery policy of one relay instance: the events of a tick in, its actions out."""
 
 import functools
 import heapq
@@ -16,11 +16,11 @@
 
 
 class DeliveryPolicy:
-    """Decides for one instance: handle() takes the events of a turn and returns its actions."""
+    """Decides for one instance: handle() takes the events of a tick and returns its actions."""
 
     def __init__(self, settings: model.Settings, seed: int) -> None:
         self.state = PolicyState(settings, seed, derive_limits(settings))
-        # Other events need no decision: a timer that fired has done its work by beginning the turn.
+        # Other events need no decision: a timer that fired has done its work by starting the tick.
         self._handlers: dict[type[model.Event], Callable[[Any], None]] = {
             model.MessageSubmitted: functools.partial(admission.submit, self.state),
             model.AttemptEnded: functools.partial(attempts.record_outcome, self.state),
@@ -34,12 +34,12 @@
         }
 
     def handle(self, now_us: int, events: Iterable[model.Event]) -> list[model.Action]:
-        """Take one turn. now_us is a clock that never goes back; times in events are on the same clock."""
+        """Run one tick. now_us is a clock that never goes back; times in events are on the same clock."""
         state = self.state
         state.now_us, state.actions = now_us, []
         if state.started_at_us < 0:
             state.started_at_us = now_us
-            if state.settings.endpoint_list_on_request:
+            if state.settings.endpoint_list_requires_subscription:
                 state.actions.append(model.SubscribeEndpointList())
         for event in events:
             if handler := self._handlers.get(type(event)):
@@ -50,16 +50,16 @@
         attempts.dispatch(state)
         admission.shed_load(state)
         if state.expiries:
-            state.wake(state.expiries[0][0])
+            state.schedule_tick(state.expiries[0][0])
         return state.actions
 
-    def avoided_endpoints(self) -> list[int]:
-        """Endpoints that get half-open attempts at most: cordoned, or their circuit is open."""
+    def endpoints_out_of_rotation(self) -> list[int]:
+        """Endpoints that get half-open attempts at most: cordoned, or with an open circuit."""
         return [e.id for e in self.state.endpoints.values() if e.cordoned or e.circuit.open]
 
-    def come_back_us(self) -> int:
+    def capacity_retry_after_us(self) -> int:
         """A Retry-After in microseconds, for a message that there is no capacity for."""
-        return admission.come_back_us(self.state)
+        return admission.capacity_retry_after_us(self.state)
 
     def _record_load(self, event: model.LoadReportReceived) -> None:
         endpoint, settings = self.state.endpoints.get(event.endpoint), self.state.settings
--- a/message_relay/policy/outlier_detection.py
+++ b/message_relay/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: judges the outcome of each call, and finds the endpoints that fail."""
+"""Outlier detection: records the outcome of each call, and finds the endpoints that fail."""
 
 from message_relay.model import AttemptEnded, AttemptResult
 from message_relay.policy import (
@@ -10,38 +10,39 @@
     timeouts,
 )
 from message_relay.policy.circuit_breaker import FAILURE_MEMORY
-from message_relay.policy.slow_start import SHORT_FAULT_US
+from message_relay.policy.slow_start import MAX_TRANSIENT_FAULT_US
 from message_relay.policy_state import Call, Endpoint, EndpointGroup, PolicyState
 
 AMBIGUOUS_FADE_SHARE = 0.6  # the share of ambiguous failures fades in this part of the slow start's time
 LOST_CALL_FACTOR = 4.0  # with 1 in so many calls lost, time-outs are no evidence
-RECENT_SUCCESS_US = 1_000_000  # what answered this lately is not down: a failed connection is a full table
+# What answered this lately is not down: a connection that failed met the connection limit.
+RECENT_SUCCESS_US = 1_000_000
 SHUT_DOWN_RETRY_AFTER_US = (
     2_500_000  # a longer one is a destination that was shut down, not the end of a span
 )
 SUCCESS_RATE_SPAN_US, SUCCESS_RATE_STEP = 4e6, 0.25
 
 
-def judge(state: PolicyState, call: Call, event: AttemptEnded) -> None:
-    """Learn from the outcome of a call."""
+def record_call_outcome(state: PolicyState, call: Call, event: AttemptEnded) -> None:
+    """Enter the outcome of a call into the statistics."""
     connection_reuse.record(state, event.result, call)
     if event.result is AttemptResult.OK:
         connection_reuse.record_success(state, call)
         _record_success(state, call.endpoint, timeouts.without_setup_us(state, call, event.latency_us))
         return
-    call.connection_table_full = _connection_table_full(state, call, event)
-    if call.connection_table_full:
-        concurrency_window.record_full_table(state, call.endpoint)
+    call.connection_limit_reached = _connection_limit_reached(state, call, event)
+    if call.connection_limit_reached:
+        concurrency_window.record_connection_limit(state, call.endpoint)
     elif _is_failure(state, call, event):
         _record_failure(state, call, event.result)
 
 
-def _connection_table_full(state: PolicyState, call: Call, event: AttemptEnded) -> bool:
-    """Rejected on a new connection while reused ones are answered: a full table, not a rate limit."""
+def _connection_limit_reached(state: PolicyState, call: Call, event: AttemptEnded) -> bool:
+    """Rejected on a new connection while reused ones are answered: the connection limit, not a rate limit."""
     if event.result is not AttemptResult.REJECTED or event.retry_after_us or state.large_fleet:
         return False
-    answers = state.now_us - call.endpoint.last_success_at_us < SHORT_FAULT_US
-    return call.connection_idle_us < 0 and answers and not call.only_call
+    answers = state.now_us - call.endpoint.last_success_at_us < MAX_TRANSIENT_FAULT_US
+    return call.connection_idle_us < 0 and answers and not call.endpoint_was_idle
 
 
 def _is_failure(state: PolicyState, call: Call, event: AttemptEnded) -> bool:
@@ -50,7 +51,7 @@
     since_success_us = state.now_us - endpoint.last_success_at_us
     if event.result is AttemptResult.RESET:
         # An idle connection had died, if the endpoint answers on others.
-        return call.connection_idle_us < 0 or since_success_us >= SHORT_FAULT_US
+        return call.connection_idle_us < 0 or since_success_us >= MAX_TRANSIENT_FAULT_US
     if event.result is AttemptResult.REJECTED:
         rate_limiter.record_rejection(state, group)
         rate_limiter.record_overload(state, group, event.retry_after_us)
@@ -99,8 +100,8 @@
 
 def _record_success(state: PolicyState, endpoint: Endpoint, latency_us: int) -> None:
     group = endpoint.group
-    short_fault = state.now_us - endpoint.last_success_at_us < SHORT_FAULT_US
-    concurrency_window.grow_table(state, endpoint)
+    transient_fault = state.now_us - endpoint.last_success_at_us < MAX_TRANSIENT_FAULT_US
+    concurrency_window.raise_connection_limit(state, endpoint)
     endpoint.last_success_at_us = state.now_us
     endpoint.failure_rate *= 1 - FAILURE_MEMORY
     endpoint.circuit.failure_rate *= 1 - FAILURE_MEMORY
@@ -113,7 +114,7 @@
     concurrency_window.grow(state, group)
     recovery_budget.record_success(state, group)
     rate_limiter.grow(state, group)
-    circuit_breaker.record_success(state, endpoint, short_fault)
+    circuit_breaker.record_success(state, endpoint, transient_fault)
 
 
 def _count_success(state: PolicyState, group: EndpointGroup) -> None:
--- a/message_relay/policy/recovery_budget.py
+++ b/message_relay/policy/recovery_budget.py
@@ -8,7 +8,7 @@
 
 from message_relay.model import EndpointState
 from message_relay.policy.circuit_breaker import FAILURES_TO_OPEN, FORGIVEN_FAILURE_RATE
-from message_relay.policy.slow_start import SHORT_FAULT_US, traffic_share_per_s
+from message_relay.policy.slow_start import MAX_TRANSIENT_FAULT_US, traffic_share_per_s
 from message_relay.policy_state import EndpointGroup, PolicyState
 
 MIN_RATE_PER_S = 0.001
@@ -31,7 +31,7 @@
 
 def _answers(state: PolicyState, group: EndpointGroup) -> bool:
     return any(
-        state.now_us - endpoint.last_success_at_us < SHORT_FAULT_US
+        state.now_us - endpoint.last_success_at_us < MAX_TRANSIENT_FAULT_US
         or endpoint.last_failure_at_us <= endpoint.last_success_at_us
         for endpoint in group.endpoints.values()
         if endpoint.state is EndpointState.READY
@@ -56,9 +56,9 @@
     group.recovery.since_us = -1
     for endpoint in group.endpoints.values() if group.recovery.failures > 1 else ():
         circuit = endpoint.circuit
-        circuit.warm_rate_per_s = traffic_share_per_s(state, group)
+        circuit.target_rate_per_s = traffic_share_per_s(state, group)
         if not circuit.open or circuit.failure_rate >= 1.0:  # 1: closed by a Retry-After
-            circuit.open, circuit.probe_interval_us = False, 0
+            circuit.open, circuit.half_open_interval_us = False, 0
             circuit.failure_rate = min(circuit.failure_rate, FORGIVEN_FAILURE_RATE)
             circuit.slow_start_since_us = circuit.bucket.updated_at_us = state.now_us
             circuit.bucket.tokens = 0.0
--- a/message_relay/policy/selection.py
+++ b/message_relay/policy/selection.py
@@ -44,15 +44,15 @@
         return None
     loss, best = _loss_by_waiting(state, destination), None
     for message in destination.queue:
-        untried = message.restored_untried
-        order = (-math.inf, message.deadline_us) if untried else (loss(message), message.sequence)
+        unattempted = message.restored_unattempted
+        order = (-math.inf, message.deadline_us) if unattempted else (loss(message), message.sequence)
         if best is None or order < best.order:
             fit = [endpoint for endpoint in admitting if attempt_allowed(state, message, endpoint)]
             if fit:
                 best = Candidate(
                     order, message, min(fit, key=functools.partial(_endpoint_rank, state, message))
                 )
-    batch_size = state.settings.kinds[destination.kind].max_batch_size
+    batch_size = state.settings.destination_types[destination.type_index].max_batch_size
     if best is None or batch_size == 1:
         return best
     # What travels with it takes no slot more: ranked as one message, ten in it waited for ten calls. A batch
@@ -99,7 +99,7 @@
         return message.weight
     if at_us >= message.deadline_us:
         return 0.0
-    if state.settings.late_weight_halves:
+    if state.settings.late_weight_decays_exponentially:
         return message.weight * max(late_share, math.pow(0.5, late_us / objective_us))
     span_us = max(1, message_class.deadline_us - objective_us)
     return message.weight * (1 - (1 - late_share) * late_us / span_us)
@@ -108,7 +108,11 @@
 def batch_companions(state: PolicyState, message: Message, endpoint: Endpoint) -> list[Message]:
     """The messages that travel in one call with this one, in the order of arrival."""
     destination = endpoint.group.destination
-    most = 0 if endpoint.circuit.open else state.settings.kinds[destination.kind].max_batch_size - 1
+    most = (
+        0
+        if endpoint.circuit.open
+        else state.settings.destination_types[destination.type_index].max_batch_size - 1
+    )
     if not most:
         return []
     others = (other for other in destination.queue if other is not message)
--- a/message_relay/policy_snapshot/values.py
+++ b/message_relay/policy_snapshot/values.py
@@ -102,9 +102,9 @@
         circuit.failure_rate,
         circuit.open,
         circuit.half_open_at_us,
-        circuit.probe_interval_us,
+        circuit.half_open_interval_us,
         circuit.slow_start_since_us,
-        circuit.warm_rate_per_s,
+        circuit.target_rate_per_s,
         circuit.bucket.tokens,
         circuit.bucket.updated_at_us,
     ]
@@ -116,9 +116,9 @@
         circuit.failure_rate,
         circuit.open,
         circuit.half_open_at_us,
-        circuit.probe_interval_us,
+        circuit.half_open_interval_us,
         circuit.slow_start_since_us,
-        circuit.warm_rate_per_s,
+        circuit.target_rate_per_s,
         circuit.bucket.tokens,
         circuit.bucket.updated_at_us,
     ) = values
@@ -128,11 +128,11 @@
     """A call's state in the order of the wire."""
     return [
         call.sent_at_us,
-        call.judged,
+        call.outcome_recorded,
         call.connection_idle_us,
-        call.only_call,
+        call.endpoint_was_idle,
         call.require_new_connection,
-        call.connection_table_full,
+        call.connection_limit_reached,
     ]
 
 
--- a/message_relay/policy_state/entities.py
+++ b/message_relay/policy_state/entities.py
@@ -1,7 +1,7 @@
 """What the policy knows of messages, calls, endpoints, endpoint groups and destinations: data, no decisions.
 
 Times are microseconds, rates are a second. An endpoint group is what shares one rate limit: a destination, or
-one endpoint of it where the kind of destination says that its endpoints are independent. The objects refer to
+one endpoint of it where the destination type says that its endpoints are independent. The objects refer to
 one another: they are compared by identity and have no repr of their own.
 """
 
@@ -48,9 +48,9 @@
     open: bool = False  # half-open attempts only
     half_open_call: Call | None = None
     half_open_at_us: int = 0
-    probe_interval_us: int = 0  # between two half-open attempts
+    half_open_interval_us: int = 0  # between two half-open attempts
     slow_start_since_us: int = -1  # -1 when warm
-    warm_rate_per_s: float = 0.0  # this instance's part of the rate once it is warm
+    target_rate_per_s: float = 0.0  # this instance's part of the rate that a slow start leads to
     bucket: TokenBucket = field(default_factory=TokenBucket)
 
 
@@ -72,7 +72,7 @@
     ambiguous_failure_at_us: int = 0
     last_success_at_us: int = 0
     last_failure_at_us: int = 0
-    connection_limit: float = math.inf  # connections that its table took when it was full
+    connection_limit: float = math.inf  # connections that it accepted when it accepted no more
     connection_limit_at_us: int = 0
 
 
@@ -123,7 +123,7 @@
     """Where messages go: its endpoint groups and the messages that wait for it."""
 
     number: int
-    kind: int = 0
+    type_index: int = 0
     groups: list[EndpointGroup] = field(default_factory=list)
     queue: list[Message] = field(default_factory=list)
     in_flight: int = 0
@@ -136,12 +136,12 @@
 
     endpoint: Endpoint
     sent_at_us: int
-    only_call: bool  # no other call was in flight to the endpoint when it was sent
+    endpoint_was_idle: bool  # no other call was in flight to the endpoint when it was sent
     open_attempts: int = 0
-    judged: bool = False
+    outcome_recorded: bool = False  # it was entered into the statistics
     connection_idle_us: int = -1  # how long its connection had been idle, -1 for a new one
     require_new_connection: bool = False
-    connection_table_full: bool = False  # rejected by a full table of connections
+    connection_limit_reached: bool = False  # rejected because the endpoint accepts no further connections
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -193,7 +193,7 @@
         )
 
     @property
-    def restored_untried(self) -> bool:
+    def restored_unattempted(self) -> bool:
         """Accepted before a restart and never attempted: it goes before what is new."""
         return self.restored and self.attempts == 0
 
@@ -219,7 +219,7 @@
     """What the calls to all endpoints showed."""
 
     idle_reuse_limit_us: int  # idle connections are reused up to this age
-    rejection_rates: list[float]  # by kind of destination
+    rejection_rates: list[float]  # by destination type
     lost_call_rate: float  # share of calls that are never answered though others are
     lost_idle_calls: int = 0  # calls lost on idle connections
     slot_occupancy_us: float = INITIAL_SLOT_OCCUPANCY_US
--- a/message_relay/policy_state/state.py
+++ b/message_relay/policy_state/state.py
@@ -27,8 +27,8 @@
 
     large_fleet: bool  # so many small instances that one's own calls say little
     max_attempts: int  # of one message, the first included
-    destination_limit: int  # calls in flight to one destination
-    margin_us: int  # kept free before a deadline
+    max_calls_per_destination: int  # in flight at once
+    deadline_margin_us: int  # kept free before a deadline
     min_lost_call_rate: float  # least share of calls taken as lost
 
 
@@ -38,16 +38,16 @@
     def __init__(self, settings: Settings, seed: int, limits: Limits) -> None:
         self.settings = settings
         self.random = random.Random(seed)
-        self.turn_interval_us = settings.turn_interval_us
+        self.tick_interval_us = settings.tick_interval_us
         self.large_fleet = limits.large_fleet
         self.max_attempts = limits.max_attempts
-        self.destination_limit = limits.destination_limit
-        self.margin_us = limits.margin_us
+        self.max_calls_per_destination = limits.max_calls_per_destination
+        self.deadline_margin_us = limits.deadline_margin_us
         self.min_lost_call_rate = limits.min_lost_call_rate
         self.now_us = 0
         self.started_at_us = -1
         self.shutdown_at_us: float = math.inf  # no call may last beyond it
-        self.actions: list[Action] = []  # of this turn
+        self.actions: list[Action] = []  # of this tick
         self.destinations: dict[int, Destination] = {}
         self.endpoints: dict[int, Endpoint] = {}
         self.messages: dict[int, Message] = {}
@@ -60,18 +60,20 @@
         shares = [tenant.quota_per_s / settings.instance_count for tenant in settings.tenants]
         self.quotas = [TenantQuota(rate, TokenBucket()) for rate in shares]
         self.capacity_full = False
-        self.unreturned_rejections = 0  # since one came back
+        self.rejections_since_resubmission = 0
         self.statistics = CallStatistics(
-            settings.connection_idle_us, [0.0] * len(settings.kinds), limits.min_lost_call_rate
+            settings.connection_idle_timeout_us,
+            [0.0] * len(settings.destination_types),
+            limits.min_lost_call_rate,
         )
 
     def log(self, text: str) -> None:
         """Have the server log a line."""
         self.actions.append(LogMessage(text))
 
-    def wake(self, at_us: float) -> None:
-        """Have a turn at that time, if none is due before."""
-        at = max(int(at_us), self.now_us + self.turn_interval_us)
+    def schedule_tick(self, at_us: float) -> None:
+        """Schedule a tick at that time, if none is due before."""
+        at = max(int(at_us), self.now_us + self.tick_interval_us)
         if not self.timers or at < self.timers[0]:
             heapq.heappush(self.timers, at)
             self.actions.append(SetTimer(at - self.now_us, 0))
@@ -101,10 +103,13 @@
         return group
 
     def add_endpoint(self, entry: EndpointEntry) -> Endpoint:
-        """A new endpoint, in the group that its destination's kind says."""
+        """A new endpoint, in the group that its destination's type says."""
         destination = self.destination(entry.destination)
-        destination.kind = min(entry.kind, len(self.settings.kinds) - 1)
-        if not destination.groups or self.settings.kinds[destination.kind].independent_endpoints:
+        destination.type_index = min(entry.type_index, len(self.settings.destination_types) - 1)
+        if (
+            not destination.groups
+            or self.settings.destination_types[destination.type_index].independent_endpoints
+        ):
             self.add_group(destination)
         group = destination.groups[-1]
         circuit = group.shared_circuit or CircuitBreaker()
@@ -112,7 +117,7 @@
         group.endpoints[endpoint.id] = self.endpoints[endpoint.id] = endpoint
         return endpoint
 
-    def forget_if_unused(self, endpoint: Endpoint) -> None:
+    def remove_if_unused(self, endpoint: Endpoint) -> None:
         """Drop an endpoint that was removed, once no call is in flight there: replacements would pile up."""
         if endpoint.state is not EndpointState.REMOVED or endpoint.in_flight:
             return
--- a/message_relay/server/attempt_runner.py
+++ b/message_relay/server/attempt_runner.py
@@ -21,13 +21,13 @@
 from message_relay.server.endpoint_calls import AttemptOutcome, CallAttempt, EndpointCallClient
 from message_relay.server.endpoint_directory import EndpointDirectory
 from message_relay.server.event_queue import EventQueue
-from message_relay.server.final_answers import FinalAnswers, record_harmless
+from message_relay.server.final_answers import FinalAnswers, record_best_effort
 from message_relay.server.journal import Journal
 from message_relay.server.metrics import Metrics
 from message_relay.server.retry_after import RetryAfterTable
 
 NOT_APPLIED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_ATTEMPTED)
-DEADLINE_MARGIN_TURNS = 2  # a batch member's time-out ends so many turns before its deadline
+DEADLINE_MARGIN_TICKS = 2  # a batch member's time-out ends so many ticks before its deadline
 log = logging.getLogger(__name__)
 
 
@@ -85,7 +85,7 @@
             self._call(action.endpoint, [call_attempt])
 
     def send_batches(self, batches: dict[int, list[CallAttempt]]) -> None:
-        """Start the calls that were gathered in a turn."""
+        """Start the calls that were gathered in a tick."""
         for endpoint, attempts in batches.items():
             size = self.directory.batch_size(endpoint)
             for start in range(0, len(attempts), size):
@@ -107,13 +107,16 @@
         """A batch is one call, waited for as long as its first message may wait: led by one whose time is up
         sooner, it would count as given up while the others are still waited for.
         """
-        messages, margin_us = self._journal.messages, DEADLINE_MARGIN_TURNS * self._settings.turn_interval_us
+        messages, deadline_margin_us = (
+            self._journal.messages,
+            DEADLINE_MARGIN_TICKS * self._settings.tick_interval_us,
+        )
         attempts = sorted(attempts, key=lambda attempt: -messages[attempt.message_number].deadline_s)
         longest_us = max(attempt.timeout_us for attempt in attempts)
         longest_new_us = max(attempt.new_connection_timeout_us for attempt in attempts)
         for attempt in attempts:
             deadline_us = clock.monotonic_at_us(messages[attempt.message_number].deadline_s)
-            left_us = deadline_us - clock.monotonic_us() - margin_us
+            left_us = deadline_us - clock.monotonic_us() - deadline_margin_us
             attempt.timeout_us = max(attempt.timeout_us, min(longest_us, left_us))
             new_us = max(attempt.new_connection_timeout_us, min(longest_new_us, left_us))
             attempt.new_connection_timeout_us = new_us
@@ -155,7 +158,7 @@
         message_class = self._settings.classes[message.message_class]
         keyed = message_class.idempotency is Idempotency.KEYED
         applied_at_s = message.possibly_applied_at_s if keyed else 0.0
-        window_s = (message_class.key_window_us - self._policy.state.margin_us) / 1e6
+        window_s = (message_class.key_window_us - self._policy.state.deadline_margin_us) / 1e6
         return bool(applied_at_s) and time.time() >= applied_at_s + window_s
 
     def attempt_ended(
@@ -168,10 +171,10 @@
         if message and not message.final_status and outcome.result is AttemptResult.OK:
             self._metrics.record_delivered(message.message_class)
         if outcome.message_ended and message:
-            record_harmless(self._journal.record_completed, [number])
+            record_best_effort(self._journal.record_completed, [number])
             self._answers.stop_deadline(number)
         elif message and attempt.started and outcome.result in NOT_APPLIED:
-            record_harmless(self._record_not_applied, [number])
+            record_best_effort(self._record_not_applied, [number])
         if message_ended:
             self.next_attempts.pop(number, None)
         self._events.add(
--- a/message_relay/server/hot_restart/state_transfer.py
+++ b/message_relay/server/hot_restart/state_transfer.py
@@ -21,17 +21,17 @@
 from message_relay.server.hot_restart.frames import AttemptEndedReport, LoadReport, Report, RetryAfterReport
 from message_relay.server.hot_restart.snapshot import (
     CallInFlight,
-    HandedClient,
-    HandedOver,
+    HandoverState,
     RetryAfterWait,
     ServerSnapshot,
+    TransferredClient,
 )
 from message_relay.server.journal import Journal
 from message_relay.server.lifecycle import Lifecycle
+from message_relay.server.policy_runner import PolicyRunner
 from message_relay.server.resp.connection import ClientConnection
 from message_relay.server.resp.server import ClientServer
 from message_relay.server.retry_after import RetryAfterScope, RetryAfterTable
-from message_relay.server.turn import TurnRunner
 
 UNKNOWN_ENDPOINT = -1
 log = logging.getLogger(__name__)
@@ -43,7 +43,7 @@
     policy: DeliveryPolicy
     journal: Journal
     events: EventQueue
-    turns: TurnRunner
+    policy_runner: PolicyRunner
     clients: ClientServer
     calls: EndpointCallClient
     attempts: AttemptRunner
@@ -129,11 +129,11 @@
 
     # As the old process
 
-    def handover_obstacle(self) -> str:
+    def handover_blocked_reason(self) -> str:
         """Why this process may not hand over, empty if it may."""
-        return self._server.lifecycle.handover_obstacle()
+        return self._server.lifecycle.handover_blocked_reason()
 
-    def export_state(self, report: Callable[[Report], None]) -> HandedOver:
+    def export_state(self, report: Callable[[Report], None]) -> HandoverState:
         """Stop serving: nothing is accepted, read, begun or recorded from here on.
 
         Outcomes of calls in flight are reported. The journal's lock is free afterwards.
@@ -141,21 +141,21 @@
         server = self._server
         server.clients.pause()
         # What has come in is answered, but no call begins.
-        server.events.add_silently(ShutdownScheduled(clock.monotonic_us()))
-        server.turns.run()
+        server.events.add_without_tick(ShutdownScheduled(clock.monotonic_us()))
+        server.policy_runner.run()
         server.calls.abandon_unstarted()
-        server.turns.run()
+        server.policy_runner.run()
         server.events.paused = True
         self._observer = ReportingObserver(server.attempts, report)
         server.calls.observer = self._observer
         connections = server.clients.connections
         self._moving = [connection for connection in connections if connection.transferable]
         listener = server.clients.listening_socket
-        handed_over = HandedOver(
+        handed_over = HandoverState(
             self._snapshot(),
             listener.fileno() if listener is not None else None,
             [
-                HandedClient(connection.sock.fileno(), connection.export_state())
+                TransferredClient(connection.sock.fileno(), connection.export_state())
                 for connection in self._moving
             ],
         )
@@ -206,7 +206,7 @@
         server.clients.stop_listening()
         for connection in self._moving:
             connection.close()
-        server.lifecycle.leave()
+        server.lifecycle.drain_after_handover()
 
     # As the new process
 
@@ -227,7 +227,7 @@
         for call in state.calls:
             for attempt in call.attempts:
                 self._imported_calls[attempt] = self._endpoint_numbers[call.endpoint]
-        server.events.add_silently(StateImported(state.policy, self._endpoint_numbers))
+        server.events.add_without_tick(StateImported(state.policy, self._endpoint_numbers))
         return frozenset(state.policy.attempts)
 
     def _map_endpoints(self, uids: dict[int, str]) -> None:
--- a/message_relay/server/lifecycle.py
+++ b/message_relay/server/lifecycle.py
@@ -41,7 +41,7 @@
         self.handed_over = False  # another process serves
         self.closed: asyncio.Future[None] = loop.create_future()
         self.reports_sent: Callable[[], bool] = lambda: True  # whether the new process knows all outcomes
-        self.take_turn: Callable[[], None] = lambda: None
+        self.run_tick: Callable[[], None] = lambda: None
         self._loop = loop
         self._events = events
         self._journal = journal
@@ -67,7 +67,7 @@
             return "quiesced"
         return "" if self.serving else "starting"
 
-    def handover_obstacle(self) -> str:
+    def handover_blocked_reason(self) -> str:
         """Why this process may not hand over, empty if it may."""
         if self._shutting_down:
             return "ending"
@@ -148,12 +148,12 @@
         if self._shutting_down and not waiting and not clients:
             self._exit()
 
-    def leave(self) -> None:
+    def drain_after_handover(self) -> None:
         """After a handover: end once the calls in flight are over and reported."""
         for connection in list(self._clients.connections):
             connection.close_when_idle()
         if self._calls.in_flight or self._clients.connections or not self.reports_sent():
-            self._loop.call_later(CLOSE_INTERVAL_S, self.leave)
+            self._loop.call_later(CLOSE_INTERVAL_S, self.drain_after_handover)
         else:
             self._exit()
 
@@ -162,5 +162,5 @@
             return
         self._clients.read_pending()
         if self._submissions.pending:  # a request that is complete gets its answer before its connection ends
-            self.take_turn()
+            self.run_tick()
         self.closed.set_result(None)
--- a/message_relay/simulator_adapter/settings_json.py
+++ b/message_relay/simulator_adapter/settings_json.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import Any, TypeVar
 
-from message_relay.model import DestinationKind, Idempotency, KeyScope, MessageClass, Settings, Tenant
+from message_relay.model import DestinationType, Idempotency, KeyScope, MessageClass, Settings, Tenant
 
 Value = TypeVar("Value")
 IDEMPOTENCY = {
@@ -66,10 +66,10 @@
     )
 
 
-def _kinds(raw: dict[str, Any], family: dict[str, Any]) -> tuple[DestinationKind, ...]:
+def _destination_types(raw: dict[str, Any], family: dict[str, Any]) -> tuple[DestinationType, ...]:
     independent, batch_sizes = family.get("kindApart", []), family.get("kindBatch", [])
     return tuple(
-        DestinationKind(
+        DestinationType(
             name,
             bool(independent[number]) if number < len(independent) else False,
             int(batch_sizes[number]) if number < len(batch_sizes) else 1,
@@ -92,7 +92,7 @@
     heeds_retry_after = limits.get("retryAfter", False)
     return Settings(
         classes=tuple(_message_class(item, number) for number, item in enumerate(raw["classes"])),
-        kinds=_kinds(raw, family),
+        destination_types=_destination_types(raw, family),
         tenants=_tenants(raw),
         call_slots=int(family["maxCalls"]),
         max_open_messages=int(limits["maxOpen"]),
@@ -103,9 +103,9 @@
         health_checks_allowed=bool(limits.get("probing", False)),
         cancellation_allowed=bool(limits.get("mayCancel", False)),
         gossip_allowed=bool(limits.get("peers", False)),
-        turn_interval_us=int(raw.get("stepUs", 1000)),
+        tick_interval_us=int(raw.get("stepUs", 1000)),
         max_retry_after_us=int(limits.get("maxRetryAfterUs", 0)) if heeds_retry_after else 0,
-        connection_idle_us=int(limits["connIdleUs"]),
+        connection_idle_timeout_us=int(limits["connIdleUs"]),
         connect_timeout_us=int(limits["connectTimeoutUs"]),
         drain_grace_us=int(contract["drainGraceUs"]),
         slow_start_share=float(contract["coldShare"]),
@@ -114,11 +114,11 @@
         overload_window_us=int(contract["fallUs"]),
         order_key_pause_us=int(contract.get("keyRestUs", 0)),
         answer_slack_us=int(contract.get("answerSlackUs", 0)),
-        endpoint_list_on_request=raw.get("membershipMode") == "on_request",
+        endpoint_list_requires_subscription=raw.get("membershipMode") == "on_request",
         rate_limits_advertised=raw.get("weightSource") in ADVERTISED_RATES,
         load_report_fields=tuple(str(field) for field in raw.get("report", {}).get("fields", [])),
         over_quota_weight=float(raw.get("overShareWorth", 1.0)),
-        late_weight_halves=family.get("late") == "halves",
+        late_weight_decays_exponentially=family.get("late") == "halves",
         clients_mark_retries=bool(raw.get("clients", {}).get("marksRetry", False)),
         rejected_call_cost=float(family.get("refusedPrice", 0.0)),
         zone_costs=tuple(float(cost) for cost in family.get("carriage", [])),
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -9,7 +9,7 @@
 from message_relay.model import (
     AttemptEnded,
     AttemptResult,
-    DestinationKind,
+    DestinationType,
     EndpointEntry,
     EndpointListForm,
     EndpointListReceived,
@@ -31,7 +31,7 @@
 from message_relay.policy.limits import DESTINATION_SLOT_SHARE
 
 SECOND = 1_000_000
-TURN_US = 5_000
+TICK_US = 5_000
 NOT_APPLIED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_ATTEMPTED)
 
 
@@ -55,7 +55,10 @@
                 ordered=ordered,
             ),
         ),
-        kinds=(DestinationKind("a", chance.random() < 0.5, chance.choice((1, 4))), DestinationKind("b")),
+        destination_types=(
+            DestinationType("a", chance.random() < 0.5, chance.choice((1, 4))),
+            DestinationType("b"),
+        ),
         call_slots=chance.randint(1, 12),
         max_open_messages=30,
         tenants=(Tenant("t", 0.5, 3.0),) if chance.random() < 0.5 else (),
@@ -66,7 +69,7 @@
         max_retry_after_us=SECOND,
         order_key_pause_us=SECOND // 2,
         answer_slack_us=20_000,
-        turn_interval_us=TURN_US,
+        tick_interval_us=TICK_US,
         clients_mark_retries=chance.random() < 0.5,
     )
 
@@ -79,8 +82,8 @@
     policy = DeliveryPolicy(settings, seed)
     locations = {100 + n: (n % 3, n % 2) for n in range(6)}  # endpoint: destination, zone
     state = dict.fromkeys(locations, EndpointState.READY)
-    independent = [settings.kinds[d % 2].independent_endpoints for d in range(3)]
-    batch = [settings.kinds[d % 2].max_batch_size for d in range(3)]
+    independent = [settings.destination_types[d % 2].independent_endpoints for d in range(3)]
+    batch = [settings.destination_types[d % 2].max_batch_size for d in range(3)]
     now, last_message, retry_after_until, timers = 10 * SECOND, 0, {}, []
     live, history, in_flight, ended, order, paused_until = {}, {}, {}, {}, [], {}
     result_weights = chance.choice(((9, 1, 1, 1, 1, 1, 1), (1, 3, 3, 3, 3, 1, 1), (5, 0, 4, 0, 4, 0, 0)))
@@ -100,7 +103,7 @@
 
     inbox = [EndpointListReceived(EndpointListForm.CACHED, tuple(entry(endpoint) for endpoint in locations))]
     for _ in range(4000):
-        now += TURN_US
+        now += TICK_US
         while timers and min(timers) <= now:
             timers.remove(min(timers))
             inbox.append(TimerFired(0))
@@ -199,7 +202,7 @@
                 calls[action.endpoint] = calls.get(action.endpoint, 0) + 1
             elif isinstance(action, (RejectMessage, FailMessage)):
                 if MessageWithdrawn(action.message) in inbox:
-                    continue  # its end was reported in this very turn
+                    continue  # its end was reported in this very tick
                 message = live.pop(action.message)
                 ended[action.message] = message
                 assert now <= message.deadline_us + settings.answer_slack_us
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -66,15 +66,15 @@
         classes=tuple(map(message_class, CLASSES)),
         call_slots=scenario["slots"],
         max_open_messages=scenario["open"],
-        kinds=tuple(
-            model.DestinationKind(f"k{n}", apart, batch) for n, (apart, batch) in enumerate(scenario["kinds"])
+        destination_types=tuple(
+            model.DestinationType(f"k{n}", apart, batch) for n, (apart, batch) in enumerate(scenario["kinds"])
         ),
         tenants=tuple(
             model.Tenant(f"t{n}", share, quota) for n, (share, quota) in enumerate(scenario["tenants"])
         ),
         instance_count=scenario["instances"],
         max_attempts=scenario["max_attempts"],
-        turn_interval_us=5000,
+        tick_interval_us=5000,
         max_retry_after_us=scenario["retry_after"],
         clients_mark_retries=scenario["clients_mark_retries"],
         slow_start_share=scenario["first_share"],
@@ -82,11 +82,11 @@
         overload_factor=scenario["multiple"],
         overload_window_us=scenario.get("window", 1_000_000),
         order_key_pause_us=scenario["key_rest"],
-        endpoint_list_on_request=scenario.get("on_request", False),
+        endpoint_list_requires_subscription=scenario.get("on_request", False),
         rate_limits_advertised=scenario.get("rates_advertised", False),
         load_report_fields=scenario.get("report", ()),
         over_quota_weight=scenario.get("over_quota_weight", 1.0),
-        late_weight_halves=scenario.get("halves", False),
+        late_weight_decays_exponentially=scenario.get("halves", False),
         zone_costs=scenario.get("zone_costs", ()),
         rejected_call_cost=scenario.get("rejected_cost", 0.0),
     )
@@ -153,8 +153,8 @@
 
     def inspect(self):
         return [
-            ["avoided", *sorted(self.policy.avoided_endpoints())],
-            ["come_back", self.policy.come_back_us()],
+            ["avoided", *sorted(self.policy.endpoints_out_of_rotation())],
+            ["come_back", self.policy.capacity_retry_after_us()],
         ]
 
     def export(self):
@@ -170,13 +170,13 @@
 
 @pytest.mark.parametrize("scenario", SCENARIOS)
 def test_decisions_and_exported_state_are_those_of_the_earlier_build(scenario):
-    turns, states = play(scenario, 1, Adapter)
+    ticks, states = play(scenario, 1, Adapter)
     recorded = (
         gzip.decompress((FIXTURES / f"policy-{scenario}.actions.gz").read_bytes()).decode().splitlines()
     )
-    assert len(turns) == len(recorded) > 900
-    for number, (turn, line) in enumerate(zip(turns, recorded, strict=True)):
-        assert turn == json.loads(line), f"turn {number}"
+    assert len(ticks) == len(recorded) > 900
+    for number, (tick, line) in enumerate(zip(ticks, recorded, strict=True)):
+        assert tick == json.loads(line), f"tick {number}"
     for number, exported in enumerate(states, 1):
         assert exported == (FIXTURES / f"policy-{scenario}.{number}.msgpack").read_bytes()
 
@@ -273,7 +273,7 @@
                 and policy.endpoints[3].circuit.open
             )
             assert new.retry_after.export_waits() == [(RetryAfterScope(8), 372_336_378)]
-            assert new.policy.avoided_endpoints() == [3, 4, 5]
+            assert new.policy.endpoints_out_of_rotation() == [3, 4, 5]
             # What it would hand on now is what it was handed, and so are the requests of its clients.
             states = [client.export_state() for client in new.clients.connections]
             assert states == clients_frame[1]
