--- a/message_relay/__main__.py
+++ b/message_relay/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m message_relay`: one instance of the relay."""
+"""`python -m message_relay`: run one instance of the relay."""
 
 from __future__ import annotations
 
@@ -8,13 +8,16 @@
 from message_relay.server.configuration import ConfigurationError, load_configuration
 from message_relay.server.log_output import configure_logging
 
-EXIT_OK, EXIT_CANNOT_START, EXIT_BAD_CONFIGURATION = 0, 1, 2
+EXIT_OK = 0
+EXIT_CANNOT_START = 1
+EXIT_BAD_CONFIGURATION = 2
 
 
 def main() -> int:
-    """Run one instance.
+    """Run one instance until it ends and return the exit status.
 
-    Exit status 2 for a bad configuration, 1 if it cannot start, with one line on standard error.
+    The status is 2 if the configuration is invalid and 1 if the instance cannot start; in both cases one line
+    on standard error gives the reason.
     """
     configure_logging()
     try:
@@ -22,7 +25,7 @@
     except ConfigurationError as error:
         print(f"message-relay: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
-    # Only now: a start that ends with a bad configuration does not pay for the server's modules.
+    # Imported after the configuration was validated, so that an invalid one is reported without loading them.
     import asyncio  # noqa: PLC0415
 
     from message_relay.server.process import serve  # noqa: PLC0415
--- a/message_relay/server/__init__.py
+++ b/message_relay/server/__init__.py
@@ -1,1 +1,1 @@
-"""One relay instance: sockets, journal and clock around the policy. No delivery decision is taken here."""
+"""The server of one relay instance: sockets, journal and clock. The policy makes all delivery decisions."""
--- a/message_relay/server/clock.py
+++ b/message_relay/server/clock.py
@@ -1,4 +1,4 @@
-"""The clocks: the policy's monotonic microseconds, and wall time, which outlasts a restart."""
+"""Conversion of wall clock times, which stay valid across a restart, to the policy's monotonic clock."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def monotonic_us() -> int:
-    """Microseconds on the clock that is given to the policy; processes on one machine share it."""
+    """Return the time of the policy's clock in microseconds; all processes of a machine share this clock."""
     return time.monotonic_ns() // 1000
 
 
 def monotonic_at_us(wall_s: float) -> int:
-    """The same moment on the monotonic clock, for a time in wall seconds."""
+    """Return the time of the policy's clock, in microseconds, for a wall clock time in seconds."""
     return monotonic_us() + int((wall_s - time.time()) * 1e6)
--- a/message_relay/server/event_queue.py
+++ b/message_relay/server/event_queue.py
@@ -1,4 +1,4 @@
-"""The events of the next tick, and when that tick is run."""
+"""The queue of events for the policy, and the schedule of the ticks that handle them."""
 
 from __future__ import annotations
 
@@ -10,15 +10,19 @@
 
 
 class EventQueue:
-    """Gathers events; a tick follows once what came in with them is read, an interval after the last."""
+    """Collects events and schedules the tick that handles them.
+
+    A tick runs after the event loop callbacks that are already due, so that it handles their events too, and
+    at the earliest one tick interval after the previous tick.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, tick_interval_us: int) -> None:
         self.on_tick: Callable[[], None] = lambda: None
-        self.paused = False  # another process decides, or is about to
+        self.paused = False  # no tick runs: during and after a handover to another process, and after close()
         self._loop = loop
         self._tick_interval_us = tick_interval_us
         self._events: list[Event] = []
-        self._scheduled = False
+        self._tick_scheduled = False
         self._last_tick_us = -tick_interval_us
 
     def __len__(self) -> int:
@@ -30,26 +34,26 @@
         self.schedule_tick()
 
     def add_without_tick(self, event: Event) -> None:
-        """Queue an event for a tick that is run anyway."""
+        """Queue an event without scheduling a tick; the next tick handles it."""
         self._events.append(event)
 
     def schedule_tick(self) -> None:
-        """Schedule a tick, unless one is scheduled."""
-        if self._scheduled or self.paused:
+        """Schedule a tick, unless one is already scheduled or the queue is paused."""
+        if self._tick_scheduled or self.paused:
             return
-        self._scheduled = True
-        early_us = self._last_tick_us + self._tick_interval_us - clock.monotonic_us()
-        if early_us <= 0:
+        self._tick_scheduled = True
+        wait_us = self._last_tick_us + self._tick_interval_us - clock.monotonic_us()
+        if wait_us <= 0:
             self._loop.call_soon(self.on_tick)
         else:
-            self._loop.call_later(early_us / 1e6, self.on_tick)
+            self._loop.call_later(wait_us / 1e6, self.on_tick)
 
     def tick_due(self) -> None:
-        """The tick that was scheduled is due; another may be scheduled."""
-        self._scheduled = False
+        """Mark the scheduled tick as due, so that another one can be scheduled."""
+        self._tick_scheduled = False
 
     def begin_tick(self) -> tuple[int, list[Event]]:
-        """The time of the tick in microseconds, and its events."""
+        """Return the time of the tick, in monotonic microseconds, and the queued events; empty the queue."""
         self._last_tick_us = clock.monotonic_us()
         events, self._events = self._events, []
         return self._last_tick_us, events
--- a/message_relay/server/process.py
+++ b/message_relay/server/process.py
@@ -1,4 +1,4 @@
-"""The process of one instance: its signals, and the parts around the server."""
+"""The process of one instance: signal handlers, admin console, hot restart and the relay server."""
 
 from __future__ import annotations
 
@@ -20,24 +20,25 @@
 
 
 async def serve(configuration: RelayConfiguration) -> None:
-    """Run one instance until it is told to end or another process has taken over.
+    """Run one instance until it has shut down or has handed over to another process.
 
-    OSError if it cannot start.
+    Raises OSError if it cannot start.
     """
     loop = asyncio.get_running_loop()
     server = RelayServer(loop, configuration)
     console = AdminConsole(server.operations)
     reloader = ConfigurationReloader(loop, os.environ, server.move_discovery, server.metrics.record_reload)
-    loop.add_signal_handler(signal.SIGHUP, reloader.reload)  # unhandled it would end the process
+    loop.add_signal_handler(signal.SIGHUP, reloader.reload)  # without a handler it ends the process
     loop.add_signal_handler(signal.SIGTERM, server.lifecycle.shut_down)
     loop.add_signal_handler(signal.SIGINT, server.lifecycle.shut_down)
     if configuration.console_address is not None:
-        await console.listen(configuration.console_address)  # before all is ready: until then health says no
+        # Opened first, so that health checks get an answer during the start.
+        await console.listen(configuration.console_address)
     server.prepare()
     path = socket_path(os.environ, configuration.state_directory)
     starting = loop.create_task(take_over(loop, server, path))
-    first: set[asyncio.Future[Any]] = {starting, server.lifecycle.closed}
-    await asyncio.wait(first, return_when=asyncio.FIRST_COMPLETED)
+    started_or_closed: set[asyncio.Future[Any]] = {starting, server.lifecycle.closed}
+    await asyncio.wait(started_or_closed, return_when=asyncio.FIRST_COMPLETED)
     listener = HotRestartListener(loop, server.transfer, path)
     if starting.done():
         port, restored = starting.result(), len(server.journal.messages)
