--- a/message_relay/server/operations.py
+++ b/message_relay/server/operations.py
@@ -1,4 +1,4 @@
-"""The operators' commands, as the admin console gives them."""
+"""Operators' commands, which the admin console receives."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from message_relay.server.lifecycle import Lifecycle
 from message_relay.server.metrics import Gauges, Metrics
 
-MAX_CORDONS = 1 << 14  # at once; those of endpoints that never come back would pile up
+MAX_CORDONS = 1 << 14  # upper bound: cordons of endpoints that are never listed again accumulate
 log = logging.getLogger(__name__)
 
 
 class Operations:
-    """Carries out the commands (see AdminCommands); each raises CommandRejectedError with a reason."""
+    """Executes the commands (see AdminCommands); each raises CommandRejectedError if it is not executed."""
 
     def __init__(
         self,
@@ -41,12 +41,12 @@
         self._lifecycle = lifecycle
 
     def check_health(self) -> None:
-        """Whether this process is ready to serve."""
+        """Raise CommandRejectedError with the reason if this process is not ready for clients."""
         if reason := self._lifecycle.unready_reason():
             raise CommandRejectedError(reason)
 
     def render_metrics(self) -> str:
-        """The figures, a line for each."""
+        """Return the metrics, one a line."""
         entries = self._directory.entries
         out_of_rotation = sum(
             1 for endpoint in self._policy.endpoints_out_of_rotation() if endpoint in entries
@@ -54,39 +54,39 @@
         return self._metrics.render(Gauges(self._journal.open_count, len(entries), out_of_rotation))
 
     def quiesce(self) -> None:
-        """Send clients away."""
+        """Report the instance as unready and close its idle client connections."""
         self._lifecycle.quiesce()
 
     def resume(self) -> None:
-        """Serve clients again."""
+        """Undo quiesce()."""
         self._lifecycle.resume()
 
     def cordon(self, uid: str) -> None:
-        """Keep new attempts from an endpoint, whatever the endpoint list says."""
+        """Start no more attempts at an endpoint, whatever its state in the endpoint list."""
         self._lifecycle.require_serving()
         if uid in self._journal.cordoned:
             return
         if uid not in self._directory.numbers:
-            raise CommandRejectedError("no such endpoint")
+            raise CommandRejectedError(f"endpoint must be listed by discovery, got {uid!r}")
         if len(self._journal.cordoned) >= MAX_CORDONS:
-            raise CommandRejectedError("too many are cordoned")
+            raise CommandRejectedError(f"at most {MAX_CORDONS} endpoints may be cordoned, uncordon one first")
         self._set_cordon(uid, cordoned=True)
 
     def uncordon(self, uid: str) -> None:
-        """Put an endpoint back."""
+        """Start attempts at an endpoint again, which begins with a slow start."""
         self._lifecycle.require_serving()
         if uid in self._journal.cordoned:
             self._set_cordon(uid, cordoned=False)
         elif uid not in self._directory.numbers:
-            raise CommandRejectedError("no such endpoint")
+            raise CommandRejectedError(f"endpoint must be listed by discovery, got {uid!r}")
 
     def _set_cordon(self, uid: str, *, cordoned: bool) -> None:
-        """Recorded first: what an operator was told outlasts the process."""
+        """Record the change, then apply it: an acknowledged command stays in force after a restart."""
         try:
             self._journal.record_cordon(uid, cordoned)
         except OSError as error:
-            raise CommandRejectedError(f"can't be recorded: {error}") from None
-        log.info("endpoint %s, uid=%s", "cordoned" if cordoned else "put back", uid)
+            raise CommandRejectedError(f"not recorded in the journal: {error}") from None
+        log.info("endpoint %s: uid=%s", "cordoned" if cordoned else "uncordoned", uid)
         if (endpoint := self._directory.numbers.get(uid)) is not None:
             self._calls.close_idle_connections(endpoint)
             self._events.add(EndpointCordoned(endpoint, cordoned))
