--- a/message_relay/server/attempt_runner.py
+++ b/message_relay/server/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Attempts: the policy's sends become calls, and the outcomes of calls become events."""
+"""Attempts: calls are started for the policy's SendAttempt actions, and their outcomes become events."""
 
 from __future__ import annotations
 
@@ -26,13 +26,14 @@
 from message_relay.server.metrics import Metrics
 from message_relay.server.retry_after import RetryAfterTable
 
-NOT_APPLIED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_ATTEMPTED)
-DEADLINE_MARGIN_TICKS = 2  # a batch member's time-out ends so many ticks before its deadline
+# Results which prove that the attempt was not applied.
+RESULTS_NOT_APPLIED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_ATTEMPTED)
+DEADLINE_MARGIN_TICKS = 2  # kept free between the extended time-out of a batched message and its deadline
 log = logging.getLogger(__name__)
 
 
 class AttemptRunner:
-    """Sends attempts and observes their calls (see CallObserver)."""
+    """Starts attempts and observes their calls (see CallObserver)."""
 
     def __init__(
         self,
@@ -47,8 +48,9 @@
     ) -> None:
         self.calls: EndpointCallClient
         self.directory: EndpointDirectory
-        self.next_attempts: dict[int, int] = {}  # numbers of the next attempts, as the policy counts
-        self.on_idle: Callable[[], None] = lambda: None  # after each outcome: this may have been the last
+        # The number of each message's next attempt, counted as in the policy, by message number.
+        self.next_attempts: dict[int, int] = {}
+        self.on_attempt_ended: Callable[[], None] = lambda: None  # called after each outcome
         self._settings = settings
         self._policy = policy
         self._journal = journal
@@ -60,7 +62,10 @@
     # Sending
 
     def send(self, action: SendAttempt, batches: dict[int, list[CallAttempt]]) -> None:
-        """Start an attempt. Attempts of endpoints that take batches are gathered in ``batches``."""
+        """Start an attempt, or add it to ``batches`` if its endpoint accepts several messages in a call.
+
+        The attempt of a message that has ended is reported as NOT_ATTEMPTED instead.
+        """
         message = self._journal.messages.get(action.message)
         attempt = self.next_attempts.get(action.message, message.attempts if message else 0)
         self.next_attempts[action.message] = attempt + 1
@@ -82,78 +87,96 @@
         if self.directory.batch_size(action.endpoint) > 1:
             batches.setdefault(action.endpoint, []).append(call_attempt)
         else:
-            self._call(action.endpoint, [call_attempt])
+            self._start_call(action.endpoint, [call_attempt])
 
     def send_batches(self, batches: dict[int, list[CallAttempt]]) -> None:
-        """Start the calls that were gathered in a tick."""
+        """Start calls for the attempts that were collected in a tick, at most a batch of messages in each."""
         for endpoint, attempts in batches.items():
-            size = self.directory.batch_size(endpoint)
-            for start in range(0, len(attempts), size):
-                self._call(endpoint, attempts[start : start + size])
+            batch_size_limit = self.directory.batch_size(endpoint)
+            for start in range(0, len(attempts), batch_size_limit):
+                self._start_call(endpoint, attempts[start : start + batch_size_limit])
 
-    def _call(self, endpoint: int, attempts: list[CallAttempt]) -> None:
-        attempts = self._lead_with_longest(attempts)
+    def _start_call(self, endpoint: int, attempts: list[CallAttempt]) -> None:
+        attempts = self._prepare_batch(attempts)
         try:
             self.calls.send(endpoint, attempts)
-        except Exception:  # its slots and messages must not hang on it
-            log.exception("call failed: endpoint=%d", endpoint)
+        except Exception:  # without outcomes its slots and messages would stay occupied
+            log.exception("starting a call failed: endpoint=%d", endpoint)
             for attempt in attempts:
                 if not attempt.ended:
                     attempt.ended = True
                     result = AttemptResult.RESET if attempt.started else AttemptResult.NOT_ATTEMPTED
                     self.attempt_ended(attempt, endpoint, AttemptOutcome(result), 0)
 
-    def _lead_with_longest(self, attempts: list[CallAttempt]) -> list[CallAttempt]:
-        """A batch is one call, waited for as long as its first message may wait: led by one whose time is up
-        sooner, it would count as given up while the others are still waited for.
+    def _prepare_batch(self, attempts: list[CallAttempt]) -> list[CallAttempt]:
+        """Return the attempts of one call, the latest deadline first, with their time-outs extended.
+
+        Each time-out is extended to the longest one, but not beyond its message's deadline less a margin. The
+        latest deadline comes first because the call counts as abandoned when the time of its first message
+        ends. With an earlier one first, the other messages would still wait for their responses at that time.
         """
         messages, deadline_margin_us = (
             self._journal.messages,
             DEADLINE_MARGIN_TICKS * self._settings.tick_interval_us,
         )
         attempts = sorted(attempts, key=lambda attempt: -messages[attempt.message_number].deadline_s)
-        longest_us = max(attempt.timeout_us for attempt in attempts)
-        longest_new_us = max(attempt.new_connection_timeout_us for attempt in attempts)
+        longest_timeout_us = max(attempt.timeout_us for attempt in attempts)
+        longest_new_connection_timeout_us = max(attempt.new_connection_timeout_us for attempt in attempts)
         for attempt in attempts:
             deadline_us = clock.monotonic_at_us(messages[attempt.message_number].deadline_s)
-            left_us = deadline_us - clock.monotonic_us() - deadline_margin_us
-            attempt.timeout_us = max(attempt.timeout_us, min(longest_us, left_us))
-            new_us = max(attempt.new_connection_timeout_us, min(longest_new_us, left_us))
-            attempt.new_connection_timeout_us = new_us
+            remaining_us = deadline_us - clock.monotonic_us() - deadline_margin_us
+            attempt.timeout_us = max(attempt.timeout_us, min(longest_timeout_us, remaining_us))
+            new_connection_us = max(
+                attempt.new_connection_timeout_us, min(longest_new_connection_timeout_us, remaining_us)
+            )
+            attempt.new_connection_timeout_us = new_connection_us
         return attempts
 
     def cancel(self, message_number: int, attempt: int) -> None:
-        """Stop waiting for an attempt."""
+        """Stop waiting for the response to an attempt."""
         self.calls.cancel(message_number, attempt)
 
-    # What the calls ask and report (CallObserver)
+    # Callbacks of the calls (CallObserver)
 
     def may_write(self, endpoint: int) -> bool:
-        """What came while a connection was being made holds for the call that waits for it."""
+        """Return whether a call may be written: the endpoint is ready and not cordoned, and no wait applies.
+
+        This may have changed since the policy chose the endpoint, while the connection was established.
+        """
         entry = self.directory.entries.get(endpoint)
         if entry is None or entry.state is not EndpointState.READY:
             return False
         cordoned = self.directory.uids.get(endpoint) in self._journal.cordoned
-        return not cordoned and self._retry_after.is_over(entry)
+        return not cordoned and self._retry_after.has_expired(entry)
 
     def call_written(self, message_count: int) -> None:
-        """A call was written to its last byte."""
+        """Count the messages of a call that was written completely."""
         self._metrics.record_attempts_written(message_count)
 
     def attempts_starting(self, attempts: list[CallAttempt]) -> bool:
-        """Record the attempts just before they are written; False if they must not be."""
+        """Record the attempts just before they are written; return False if they must not be written.
+
+        They must not be written if a message is completed, if the window of its idempotency key has passed,
+        or if the journal cannot record them.
+        """
         numbers = [attempt.message_number for attempt in attempts]
-        if any(number not in self._journal.messages or self._repeats_too_late(number) for number in numbers):
+        if any(
+            number not in self._journal.messages or self._key_window_expired(number) for number in numbers
+        ):
             return False
         try:
             self._journal.record_attempt(numbers, time.time(), attempts[0].zone)
         except OSError as error:
-            log.error("journal: attempt not recorded, error=%s", error)
+            log.error("attempts not recorded in the journal: messages=%d error=%s", len(numbers), error)
             return False
         return True
 
-    def _repeats_too_late(self, number: int) -> bool:
-        """Its connection came up so late that its key may not be recognized any more."""
+    def _key_window_expired(self, number: int) -> bool:
+        """Return whether the key window of a possibly applied attempt has passed, less the deadline margin.
+
+        The destination may not recognize the key after that and could apply a retry a second time. This is
+        checked when the retry is about to be written, as its connection may have been established late.
+        """
         message = self._journal.messages[number]
         message_class = self._settings.classes[message.message_class]
         keyed = message_class.idempotency is Idempotency.KEYED
@@ -164,7 +187,10 @@
     def attempt_ended(
         self, attempt: CallAttempt, endpoint: int, outcome: AttemptOutcome, latency_us: int
     ) -> None:
-        """Record what the outcome proves and pass it to the policy."""
+        """Report the outcome of an attempt to the policy and update the journal.
+
+        The journal records an outcome that completes the message or proves that the attempt was not applied.
+        """
         number = attempt.message_number
         message = self._journal.messages.get(number)
         message_ended = outcome.message_ended or message is None
@@ -172,8 +198,8 @@
             self._metrics.record_delivered(message.message_class)
         if outcome.message_ended and message:
             record_best_effort(self._journal.record_completed, [number])
-            self._answers.stop_deadline(number)
-        elif message and attempt.started and outcome.result in NOT_APPLIED:
+            self._answers.cancel_deadline_timer(number)
+        elif message and attempt.started and outcome.result in RESULTS_NOT_APPLIED:
             record_best_effort(self._record_not_applied, [number])
         if message_ended:
             self.next_attempts.pop(number, None)
@@ -190,24 +216,24 @@
                 malformed=outcome.malformed,
             )
         )
-        self.on_idle()
+        self.on_attempt_ended()
 
     def _record_not_applied(self, numbers: list[int]) -> None:
         for number in numbers:
             self._journal.record_not_applied(number)
 
     def retry_after_received(self, endpoint: int, wait_us: int) -> None:
-        """Heed a Retry-After at once, before any outcome."""
+        """Record a Retry-After as soon as it is received, before the outcome of its attempt."""
         entry = self.directory.entries.get(endpoint)
-        if entry is not None:  # one that was removed: the policy heeds it for the destination
+        if entry is not None:  # for a removed endpoint, the policy alone honors it, for the destination
             self._retry_after.record(entry, wait_us)
 
     def load_report_received(self, endpoint: int, values: dict[str, float]) -> None:
-        """Pass a load report on if it is complete."""
+        """Report a load report to the policy if it has every configured field."""
         fields = self._settings.load_report_fields
         if all(field in values for field in fields):
             self._events.add(LoadReportReceived(endpoint, tuple(values[field] for field in fields)))
 
     def health_check_ended(self, endpoint: int, result: AttemptResult, latency_us: int) -> None:
-        """Pass on how a health check ended."""
+        """Report the result of a health check to the policy."""
         self._events.add(HealthCheckEnded(endpoint, result, latency_us))
--- a/message_relay/server/endpoint_directory.py
+++ b/message_relay/server/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The endpoints that discovery lists: their names there, their numbers here, and where they are."""
+"""The endpoints that discovery lists: their uids, the numbers that stand for them here, and their entries."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from message_relay.server.endpoint_calls import EndpointCallClient
 from message_relay.server.retry_after import RetryAfterTable
 
-STATES = {
+STATES_BY_NAME = {
     "in_service": EndpointState.READY,
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.REMOVED,
 }
-Target = dict[str, Any]  # one endpoint as discovery words it
+Target = dict[str, Any]  # a raw entry of the endpoint list, as discovery sends it
 log = logging.getLogger(__name__)
 
 
@@ -31,10 +31,10 @@
         retry_after: RetryAfterTable,
     ) -> None:
         self.entries: dict[int, EndpointEntry] = {}
-        self.targets: dict[int, Target] = {}  # the same as they came
+        self.targets: dict[int, Target] = {}  # the raw entries of the same endpoints
         self.numbers: dict[str, int] = {}  # by uid
         self.uids: dict[int, str] = {}
-        # Destinations that ever stood in a list: their endpoints may only be gone for now.
+        # Destinations listed so far. One without endpoints stays, as this may be temporary.
         self.destinations: set[int] = set()
         self._last_number = 0
         self._destination_types = settings.destination_types
@@ -47,8 +47,11 @@
         self._retry_after = retry_after
 
     def apply(self, targets: Iterable[Target], form: EndpointListForm) -> EndpointListReceived:
-        """Take over a list or a change of it; entries that cannot be read are logged and left out."""
-        entries = [entry for target in targets if (entry := self._place(target)) is not None]
+        """Apply a list or a change of it and return the event for the policy.
+
+        Invalid entries are logged and skipped.
+        """
+        entries = [entry for target in targets if (entry := self._update_entry(target)) is not None]
         if form is not EndpointListForm.DELTA:
             listed = {entry.endpoint for entry in entries}
             for number in [number for number in self.entries if number not in listed]:
@@ -60,18 +63,19 @@
                 self._calls.close_idle_connections(entry.endpoint)
         return EndpointListReceived(form, tuple(entries))
 
-    def _place(self, target: Target) -> EndpointEntry | None:
+    def _update_entry(self, target: Target) -> EndpointEntry | None:
+        """Store the entry and return it, None if it is invalid."""
         try:
-            entry, address = self._read(target)
+            entry, address = self._parse_target(target)
         except (KeyError, TypeError, ValueError, ConfigurationError) as error:
-            log.error("endpoint list: unreadable entry left out, error=%r", error)
+            log.error("invalid entry of the endpoint list skipped: error=%r", error)
             return None
         self.entries[entry.endpoint], self.targets[entry.endpoint] = entry, target
         self.destinations.add(entry.destination)
         self._calls.set_address(entry.endpoint, address)
         return entry
 
-    def _read(self, target: Target) -> tuple[EndpointEntry, Address]:
+    def _parse_target(self, target: Target) -> tuple[EndpointEntry, Address]:
         uid = str(target["uid"])
         if uid not in self.numbers:
             self.numbers[uid] = self.reserve_number()
@@ -79,7 +83,7 @@
         entry = EndpointEntry(
             self.numbers[uid],
             int(target["pod_group"]),
-            STATES[target["state"]],
+            STATES_BY_NAME[target["state"]],
             float(target.get("capacity_hint") or 0.0),
             self._type_indexes.get(target.get("model", ""), 0),
             self._zone_numbers.get(target.get("az", ""), 0),
@@ -87,19 +91,19 @@
         return entry, parse_address(target["endpoint"], "endpoint")
 
     def reserve_number(self) -> int:
-        """A number that no endpoint has or had."""
+        """Return a number that has not been used for any endpoint before."""
         self._last_number += 1
         return self._last_number
 
     def _remove(self, number: int) -> None:
         self.targets.pop(number, None)
         if entry := self.entries.pop(number, None):
-            self._retry_after.forget_endpoint(entry)
-        self.numbers.pop(self.uids.pop(number, ""), None)  # a uid that was removed does not come again
+            self._retry_after.remove_wait(entry)
+        self.numbers.pop(self.uids.pop(number, ""), None)  # a removed uid is not listed again
         self._calls.remove_endpoint(number)
 
     def batch_size(self, number: int) -> int:
-        """Messages that may travel to the endpoint in one call."""
+        """Return the maximum number of messages in one call to the endpoint, 1 if it is not listed."""
         entry = self.entries.get(number)
         return (
             self._destination_types[min(entry.type_index, len(self._destination_types) - 1)].max_batch_size
@@ -108,5 +112,5 @@
         )
 
     def zone(self, number: int) -> int:
-        """The endpoint's zone, -1 if it is not listed."""
+        """Return the endpoint's zone, -1 if it is not listed."""
         return self.entries[number].zone if number in self.entries else -1
--- a/message_relay/server/hot_restart/state_transfer.py
+++ b/message_relay/server/hot_restart/state_transfer.py
@@ -179,7 +179,7 @@
         if not self._server.events.paused:
             return False
         if self._observer is not None:
-            self._observer.deferred.append(lambda: self._server.answers.record_notified(numbers))
+            self._observer.deferred.append(lambda: self._server.answers.record_notices_accepted(numbers))
         return True
 
     def resume_serving(self) -> None:
@@ -199,7 +199,7 @@
         server.lifecycle.handed_over, server.lifecycle.serving = True, False
         if self._observer is not None:
             self._observer.deferred.clear()
-        server.answers.stop_all_deadlines()
+        server.answers.cancel_all_deadline_timers()
         server.journal.forget_messages()
         server.watch.stop()
         server.notifier.stop()
--- a/message_relay/server/policy_runner.py
+++ b/message_relay/server/policy_runner.py
@@ -1,4 +1,4 @@
-"""The tick: the policy acts on a batch of events, and its actions are carried out in order."""
+"""Ticks: the policy handles the queued events, and the server executes the actions that it returns."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from message_relay.server.resp import replies
 from message_relay.server.submission import PendingSubmission, Submissions
 
-TIMER_ROUNDING_S = 5e-5  # a timer of the event loop may run down this much early
+TIMER_ROUNDING_S = 5e-5  # added to each delay: the event loop may fire a timer this much too early
 log = logging.getLogger(__name__)
 
 
@@ -53,11 +53,12 @@
         self._answers = answers
         self._calls = calls
         self._batches: dict[int, list[CallAttempt]] = {}
-        # Other actions are of systems that this server does not speak with.
+        # Actions without a handler are ignored: the server has no gossip channel to other instances, and it
+        # watches the endpoint list without a request of the policy.
         self._handlers: dict[type[Action], Callable[[Any], None]] = {
             SendAttempt: self._send,
-            RejectMessage: answers.finish,
-            FailMessage: answers.finish,
+            RejectMessage: answers.execute_action,
+            FailMessage: answers.execute_action,
             SetTimer: self._set_timer,
             CloseIdleConnections: self._close_idle_connections,
             CancelAttempt: self._cancel,
@@ -66,7 +67,7 @@
         }
 
     def run(self) -> None:
-        """Run a tick, unless another process decides."""
+        """Run one tick, unless the event queue is paused."""
         self._events.tick_due()
         if self._events.paused:
             return
@@ -74,17 +75,18 @@
         pending = self._submissions.take_pending()
         try:
             actions = self._policy.handle(now_us, events)
-        except Exception:  # one bad tick must not end the process; each message still has its deadline timer
+        except Exception:  # a failed tick must not end the process; accepted messages have deadline timers
             log.exception("policy failed: events=%d", len(events))
             actions = [FailMessage(number) for number in pending]
         try:
-            self._carry_out(list(actions), pending)
+            self._execute_actions(list(actions), pending)
         except Exception:
-            log.exception("actions failed")
+            log.exception("executing the actions of the policy failed")
             for submission in pending.values():
                 submission.answer(replies.INTERNAL_ERROR)
 
-    def _carry_out(self, actions: list[Action], pending: dict[int, PendingSubmission]) -> None:
+    def _execute_actions(self, actions: list[Action], pending: dict[int, PendingSubmission]) -> None:
+        """Reject or accept the pending submissions, then execute the actions in order."""
         for action in actions:
             if isinstance(action, RejectMessage | FailMessage) and action.message in pending:
                 self._submissions.reject(pending.pop(action.message), action)
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -1,4 +1,4 @@
-"""One relay instance on real sockets: puts its parts together, starts and closes them."""
+"""One relay instance: creates its parts, connects them, starts and closes them."""
 
 from __future__ import annotations
 
@@ -29,8 +29,9 @@
 from message_relay.server.retry_after import RetryAfterTable
 from message_relay.server.submission import Submissions, submitted_event
 
-# Shares of the limit on open files; the rest is for calls, discovery, the journal and Python itself.
-CLIENT_CONNECTION_SHARE, IDLE_CONNECTION_SHARE = 0.5, 0.2
+# Shares of the limit on open files; the rest is for calls, discovery, the journal and the Python runtime.
+CLIENT_CONNECTION_SHARE = 0.5
+IDLE_CONNECTION_SHARE = 0.2  # idle connections to endpoints
 MIN_CLIENT_CONNECTIONS = 8
 log = logging.getLogger(__name__)
 
@@ -51,7 +52,7 @@
         self._connect_parts()
 
     def _create_core(self) -> None:
-        """The policy, the journal, the events between the parts."""
+        """Create the policy, the journal, the event queue and the final answers."""
         settings, configuration = self.settings, self.configuration
         key_window_s = max(message_class.key_window_us for message_class in settings.classes) / 1e6
         self.policy = DeliveryPolicy(settings, configuration.seed)
@@ -61,7 +62,7 @@
         self.answers = FinalAnswers(self._loop, self.journal, self.events, self.metrics)
 
     def _create_delivery(self) -> None:
-        """Attempts, calls to endpoints, and the directory of endpoints."""
+        """Create the attempt runner, the client for calls to endpoints, and the directory of endpoints."""
         settings = self.settings
         self.retry_after = RetryAfterTable(settings.destination_types)
         self.attempts = AttemptRunner(
@@ -84,7 +85,7 @@
         self.attempts.calls, self.attempts.directory = self.calls, self.directory
 
     def _create_client_side(self) -> None:
-        """Submissions, client connections, ticks, and the operators' commands."""
+        """Create submissions, the client server, the lifecycle, operators' commands and the policy runner."""
         self.submissions = Submissions(
             settings=self.settings,
             policy=self.policy,
@@ -127,9 +128,9 @@
         )
 
     def _create_discovery(self) -> None:
-        """The connections to the discovery service."""
+        """Create the endpoint watch and the notifier, which connect to discovery."""
         address = self.configuration.discovery_address
-        self.notifier = FinalNotifier(self._loop, address, self._finals_accepted)
+        self.notifier = FinalNotifier(self._loop, address, self._notices_accepted)
         self.watch = EndpointWatch(
             self._loop,
             address,
@@ -141,58 +142,65 @@
     def _connect_parts(self) -> None:
         self.events.on_tick = self.lifecycle.run_tick = self.policy_runner.run
         self.answers.notifier = self.notifier
-        self.answers.on_ended = self._message_ended
-        self.attempts.on_idle = self.lifecycle.exit_if_done
-        self.submissions.is_closed = self.lifecycle.rejects_clients
+        self.answers.on_message_ended = self._message_ended
+        self.attempts.on_attempt_ended = self.lifecycle.exit_if_done
+        self.submissions.rejects_new_messages = self.lifecycle.rejects_clients
 
     def unready_reason(self) -> str:
-        """Why this process is not to be sent clients, empty if it is."""
+        """Return why clients must not be directed to this process, empty if it is ready for them."""
         return self.lifecycle.unready_reason()
 
     # Start
 
     def prepare(self) -> None:
-        """Do what can be done before this process owns anything."""
+        """Apply the cached endpoint list and start the endpoint watch; neither requires the journal."""
         cached = self.configuration.cached_list
         self.apply_list(EndpointListChange(cached.revision, True, cached.targets), EndpointListForm.CACHED)
         self.watch.start()
 
     async def wait_for_list(self, timeout_s: float) -> None:
-        """Wait for a first word of discovery; it may be down."""
+        """Wait for the first endpoint list, but no longer than ``timeout_s``, as discovery may be down."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 await self._list_received.wait()
 
     async def start(self) -> int:
-        """Start with no other process serving. Returns the port; JournalLockedError if one does."""
+        """Start without a handover and return the port.
+
+        Raises JournalLockedError if another process owns the journal.
+        """
         self.prepare()
         self.journal.acquire()
         return await self.begin_serving()
 
     async def begin_serving(self, handed_over: HandoverState | None = None) -> int:
-        """Restore, run the first tick, then listen: clients are accepted from here on. Returns the port.
+        """Restore the messages, run the first tick, then accept clients; return the port.
 
-        The journal is this process's. ``handed_over`` is what the old process passed on, where there is one.
+        This process must own the journal. ``handed_over`` is the state that an old process handed over, None
+        if there was no handover.
         """
         self.submissions.last_number = self.journal.last_number
-        known = self.transfer.import_state(handed_over.state) if handed_over else frozenset()
+        transferred_numbers = self.transfer.import_state(handed_over.state) if handed_over else frozenset()
         for uid in self.journal.cordoned:
             if uid in self.directory.numbers:
                 self.events.add_without_tick(EndpointCordoned(self.directory.numbers[uid]))
         for message in list(self.journal.messages.values()):
-            self._restore(message, message.number in known)
+            self._restore_message(message, message.number in transferred_numbers)
         self.policy_runner.run()
         port = await self._listen(handed_over)
         self.lifecycle.serving = True
         return port
 
-    def _restore(self, message: AcceptedMessage, known: bool) -> None:
+    def _restore_message(self, message: AcceptedMessage, transferred: bool) -> None:
+        """Restore a message of the journal; one that was transferred is not submitted to the policy again."""
         if message.final_status:
-            self.answers.notify(message.number, message.id, message.final_status, message.retry_after_ms)
+            self.answers.enqueue_notice(
+                message.number, message.id, message.final_status, message.retry_after_ms
+            )
             return
-        if not known:
+        if not transferred:
             self.events.add_without_tick(submitted_event(message, restored=True))
-        self.answers.watch_deadline(message)
+        self.answers.start_deadline_timer(message)
 
     async def _listen(self, handed_over: HandoverState | None) -> int:
         descriptor = self.configuration.listen_fd
@@ -213,48 +221,49 @@
         self.apply_list(change, EndpointListForm.COMPLETE if change.complete else EndpointListForm.DELTA)
 
     def apply_list(self, change: EndpointListChange, form: EndpointListForm) -> None:
-        """Take over an endpoint list or a change of it."""
+        """Apply an endpoint list or a change of it, and report it to the policy."""
         event = self.directory.apply(change.targets, form)
         if form is not EndpointListForm.CACHED:
             self._list_received.set()
         self.events.add(event)
-        for entry in event.entries:  # in the same tick: the list lifts no cordon, nor does a new number
+        # Cordons are applied in the same tick: neither a list nor a new endpoint number lifts them.
+        for entry in event.entries:
             if self.directory.uids.get(entry.endpoint) in self.journal.cordoned:
                 self.events.add(EndpointCordoned(entry.endpoint))
 
     def move_discovery(self, address: Address) -> None:
-        """Discovery is at another address: the watch and the notices both go there."""
+        """Move the endpoint watch and the notices to another address of discovery."""
         if address != self.watch.address:
-            log.info("discovery moves: address=%s:%d", *address)
+            log.info("discovery address changed: address=%s:%d", *address)
             self.watch.move(address)
             self.notifier.move(address)
 
     # Reports of the old process in a hot restart (HandoverTarget)
 
     def report_received(self, report: Report) -> None:
-        """What has come of a call of the old process."""
+        """Apply a report of the old process on one of its calls in flight."""
         self.transfer.report_received(report)
 
     def reports_ended(self) -> None:
-        """The old process reports no more."""
+        """Treat the calls that the old process has not reported as possibly applied: no reports follow."""
         self.transfer.reports_ended()
 
-    # Ends of messages
+    # Completion of messages
 
     def _message_ended(self, number: int) -> None:
         self.attempts.next_attempts.pop(number, None)
 
-    def _finals_accepted(self, numbers: list[int]) -> None:
+    def _notices_accepted(self, numbers: list[int]) -> None:
         if self.transfer.defer_finals(numbers):
             return
-        self.answers.record_notified(numbers)
+        self.answers.record_notices_accepted(numbers)
         self.lifecycle.exit_if_done()
 
-    # The end
+    # Exit
 
     def close(self) -> None:
-        """Let go of everything at once; the journal already holds what is open."""
-        self.events.paused = True  # a tick that is due would find no journal
+        """Close all connections and the journal at once; the journal already holds the open messages."""
+        self.events.paused = True  # a scheduled tick would use the closed journal
         self.watch.stop()
         self.notifier.stop()
         self.calls.close()
--- a/message_relay/server/retry_after.py
+++ b/message_relay/server/retry_after.py
@@ -1,4 +1,4 @@
-"""The Retry-After that destinations gave: looked at once more before a call is written."""
+"""Waits that endpoints requested with Retry-After; they are checked again just before a call is written."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class RetryAfterScope(NamedTuple):
-    """What one Retry-After holds for: a destination, or one endpoint where these are independent."""
+    """Scope of a Retry-After: all endpoints of a destination, or one endpoint of independent endpoints."""
 
     destination: int
     endpoint: int = ANY_ENDPOINT
 
 
 class RetryAfterTable:
-    """When each wait ends, in monotonic microseconds."""
+    """The end of each wait, in monotonic microseconds."""
 
     def __init__(self, destination_types: tuple[DestinationType, ...]) -> None:
         self._destination_types = destination_types
@@ -28,17 +28,17 @@
         return len(self._until_us)
 
     def record(self, entry: EndpointEntry, wait_us: int) -> None:
-        """The endpoint gave a Retry-After."""
+        """Record a Retry-After that the endpoint sent; of two waits of one scope, the later end applies."""
         scope = self._scope(entry)
         until_us = clock.monotonic_us() + wait_us
         self._until_us[scope] = max(self._until_us.get(scope, 0), until_us)
 
-    def is_over(self, entry: EndpointEntry) -> bool:
-        """Whether the endpoint may be called, as far as it is known here."""
+    def has_expired(self, entry: EndpointEntry) -> bool:
+        """Return whether no wait applies to the endpoint now."""
         return self._until_us.get(self._scope(entry), 0) <= clock.monotonic_us()
 
-    def forget_endpoint(self, entry: EndpointEntry) -> None:
-        """The endpoint has been removed."""
+    def remove_wait(self, entry: EndpointEntry) -> None:
+        """Remove the wait of one endpoint; a wait of its destination stays."""
         self._until_us.pop(RetryAfterScope(entry.destination, entry.endpoint), None)
 
     def _scope(self, entry: EndpointEntry) -> RetryAfterScope:
@@ -47,9 +47,9 @@
         return RetryAfterScope(entry.destination, endpoint)
 
     def export_waits(self) -> list[tuple[RetryAfterScope, int]]:
-        """All waits, for a hot restart."""
+        """Return all waits, for the handover of a hot restart."""
         return list(self._until_us.items())
 
     def import_wait(self, scope: RetryAfterScope, until_us: int) -> None:
-        """A wait that the old process knew."""
+        """Store a wait that the old process of a hot restart handed over."""
         self._until_us[scope] = until_us
--- a/message_relay/server/submission.py
+++ b/message_relay/server/submission.py
@@ -1,4 +1,4 @@
-"""Messages that clients submit: checked, put to the policy, recorded, and only then answered."""
+"""Messages that clients submit: validated, passed to the policy, recorded in the journal, then answered."""
 
 from __future__ import annotations
 
@@ -27,27 +27,28 @@
 from message_relay.server.resp.commands import InvalidRequestError, SubmitRequest
 from message_relay.server.resp.connection import ReplyHandle
 
-MAX_LIFETIME_DEADLINES = (
-    10  # a message that wants to live longer than so many deadlines of its class is an error
-)
+MAX_LIFETIME_DEADLINE_RATIO = 10  # limit of a message's lifetime, in multiples of the deadline of its class
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class PendingSubmission:
-    """A message that the policy has not seen yet; it is submitted again on another connection at times."""
+    """A message that was submitted since the last tick and waits for the policy's decision.
+
+    A client may submit it again on another connection in that time: each submission gets the same reply.
+    """
 
     message: AcceptedMessage
     replies: list[ReplyHandle]
 
     def answer(self, text: bytes) -> None:
-        """Answer each of its submissions."""
+        """Send the reply to each submission of the message."""
         for reply in self.replies:
             reply.send(text)
 
 
 def submitted_event(message: AcceptedMessage, *, restored: bool = False) -> MessageSubmitted:
-    """The event that tells the policy of a message."""
+    """Return the event that reports the message to the policy."""
     applied_at_s = message.possibly_applied_at_s
     return MessageSubmitted(
         message=message.number,
@@ -65,7 +66,7 @@
 
 
 class Submissions:
-    """Takes messages from clients."""
+    """Accepts or rejects the messages that clients submit."""
 
     def __init__(
         self,
@@ -80,9 +81,10 @@
         metrics: Metrics,
     ) -> None:
         self.pending: dict[int, PendingSubmission] = {}
-        self.pending_ids: dict[str, int] = {}
-        self.is_closed: Callable[[], bool] = lambda: False  # whether nothing new is accepted
-        self.last_number = 0
+        self.pending_ids: dict[str, int] = {}  # the keys of `pending` by message id
+        # Set by the server: returns whether new messages are rejected, whatever the policy decides.
+        self.rejects_new_messages: Callable[[], bool] = lambda: False
+        self.last_number = 0  # number of the latest message
         self._settings = settings
         self._class_numbers = {item.name: number for number, item in enumerate(settings.classes)}
         self._tenant_numbers = {tenant.name: number for number, tenant in enumerate(settings.tenants)}
@@ -95,44 +97,57 @@
         self._metrics = metrics
 
     def submit(self, request: SubmitRequest, reply: ReplyHandle) -> None:
-        """A client submits a message; it is answered in the tick that follows. InvalidRequestError if it is
-        not a message of this relay's.
+        """Submit a client's message to the policy; the reply is sent in the next tick.
+
+        Replies at once if the message is a duplicate or cannot be accepted now. Raises InvalidRequestError if
+        its class, tenant, key, lifetime or destination is not valid.
         """
-        message_class, tenant = self._check(request)
+        message_class, tenant = self._validate(request)
         if self._events.paused:
             reply.send(replies.busy(self._policy.capacity_retry_after_us()))
             return
         if request.message_id in self.pending_ids:
             self.pending[self.pending_ids[request.message_id]].replies.append(reply)
             return
-        if self._is_known(request.message_id):
-            reply.send(replies.OK)  # submitted again on a new connection: it is, or was, taken care of
+        if self._is_duplicate(request.message_id):
+            # Resubmitted on a new connection: accepted before, so it is acknowledged but not added again.
+            reply.send(replies.OK)
             return
         open_messages = self._journal.open_count + len(self.pending)
-        if self.is_closed() or open_messages >= self._settings.max_open_messages:
+        if self.rejects_new_messages() or open_messages >= self._settings.max_open_messages:
             self._metrics.record_rejected(message_class)
             reply.send(replies.busy(self._policy.capacity_retry_after_us()))
             return
-        self._add(self._new_message(request, message_class, tenant), reply)
+        self._enqueue(self._new_message(request, message_class, tenant), reply)
 
-    def _is_known(self, message_id: str) -> bool:
+    def _is_duplicate(self, message_id: str) -> bool:
+        """Return whether a message with this id was accepted before."""
         return message_id in self._journal.numbers_by_id or message_id in self._journal.finished_ids
 
-    def _check(self, request: SubmitRequest) -> tuple[int, int]:
-        """The numbers of its class and tenant."""
+    def _validate(self, request: SubmitRequest) -> tuple[int, int]:
+        """Return the numbers of the message's class and tenant. Raises InvalidRequestError."""
         class_number = self._class_numbers.get(request.class_name)
         if class_number is None:
-            raise InvalidRequestError("c: no such class")
+            raise InvalidRequestError(
+                f"c: must be the name of a configured class, got {request.class_name!r:.80}"
+            )
         tenant = self._tenant_numbers.get(request.tenant_name or "", -1) if self._tenant_numbers else 0
         if tenant < 0:
-            raise InvalidRequestError("t: no such tenant")
+            raise InvalidRequestError(
+                f"t: must be the name of a configured tenant, got {request.tenant_name!r:.80}"
+            )
         message_class = self._settings.classes[class_number]
         if message_class.idempotency is Idempotency.KEYED and not request.idempotency_key:
-            raise InvalidRequestError("k: lacks, and the class is keyed")
-        if request.lifetime_ms * 1000 > MAX_LIFETIME_DEADLINES * message_class.deadline_us:
-            raise InvalidRequestError("d: far over the deadline of the class")
+            raise InvalidRequestError(f"k: must be set for the keyed class {request.class_name!r:.80}")
+        if request.lifetime_ms * 1000 > MAX_LIFETIME_DEADLINE_RATIO * message_class.deadline_us:
+            raise InvalidRequestError(
+                f"d: must be at most {MAX_LIFETIME_DEADLINE_RATIO} times the class deadline"
+                f" of {message_class.deadline_us // 1000} ms, got {request.lifetime_ms} ms"
+            )
         if self._directory.destinations and request.destination not in self._directory.destinations:
-            raise InvalidRequestError("dest: no such destination")
+            raise InvalidRequestError(
+                f"dest: must be a destination listed by discovery, got {request.destination}"
+            )
         return class_number, tenant
 
     def _new_message(self, request: SubmitRequest, message_class: int, tenant: int) -> AcceptedMessage:
@@ -153,44 +168,51 @@
             earlier_attempt_zone=self._journal.key_applied_zone(request.idempotency_key),
         )
 
-    def _add(self, message: AcceptedMessage, reply: ReplyHandle) -> None:
-        self._replace_older(message)
+    def _enqueue(self, message: AcceptedMessage, reply: ReplyHandle) -> None:
+        self._withdraw_older_message(message)
         self.pending[message.number] = PendingSubmission(message, [reply])
         self.pending_ids[message.id] = message.number
         self._events.add(submitted_event(message))
 
-    def _replace_older(self, message: AcceptedMessage) -> None:
-        """A key that is still open here comes again only from a client that gave the older message up."""
+    def _withdraw_older_message(self, message: AcceptedMessage) -> None:
+        """Withdraw the open message that has the same idempotency key, if there is one.
+
+        A client uses the key of an open message again only after it has given up on that message. The new
+        message keeps the time and zone of the older one's possibly applied attempt.
+        """
         number = self._journal.open_number_by_key.get(message.idempotency_key, 0)
-        older = self._journal.messages.get(number)
-        if older is None:
+        older_message = self._journal.messages.get(number)
+        if older_message is None:
             return
         if not message.earlier_attempt_at_s:
-            message.earlier_attempt_at_s = older.possibly_applied_at_s
-            message.earlier_attempt_zone = older.possibly_applied_zone
-        self._events.add(MessageWithdrawn(older.number))
-        last_attempt = self._attempts.next_attempts.get(older.number, 0) - 1
-        self._answers.end(older, FinalStatus.DEFERRED)
-        self._attempts.cancel(older.number, last_attempt)
+            message.earlier_attempt_at_s = older_message.possibly_applied_at_s
+            message.earlier_attempt_zone = older_message.possibly_applied_zone
+        self._events.add(MessageWithdrawn(older_message.number))
+        last_attempt = self._attempts.next_attempts.get(older_message.number, 0) - 1
+        self._answers.end_message(older_message, FinalStatus.DEFERRED)
+        self._attempts.cancel(older_message.number, last_attempt)
 
     def take_pending(self) -> dict[int, PendingSubmission]:
-        """What the policy sees in this tick, by number."""
+        """Return the pending submissions by message number and start an empty set for the next tick."""
         pending, self.pending = self.pending, {}
         self.pending_ids.clear()
         return pending
 
     def reject(self, pending: PendingSubmission, action: RejectMessage | FailMessage) -> None:
-        """The policy ended the message at once: it is not accepted."""
+        """Reply to a message that the policy rejected or failed at once; the journal does not record it."""
         rejection = action if isinstance(action, RejectMessage) else None
         text = replies.busy(rejection.retry_after_us) if rejection else replies.FAILED
-        self._answers.count(pending.message.message_class, rejected=rejection is not None)
+        self._answers.count_outcome(pending.message.message_class, rejected=rejection is not None)
         pending.answer(text)
 
     def accept(self, pending: PendingSubmission) -> None:
-        """Record the message, then say so."""
+        """Record the message in the journal, then send the reply.
+
+        The message is withdrawn instead if its clients have disconnected or if it cannot be recorded.
+        """
         message = pending.message
         if not any(reply.client_connected for reply in pending.replies):
-            self._events.add(MessageWithdrawn(message.number))  # nobody would hear that it was accepted
+            self._events.add(MessageWithdrawn(message.number))  # no client would receive the reply
             return
         try:
             self._journal.accept(message)
@@ -200,5 +222,5 @@
             self._events.add(MessageWithdrawn(message.number))
             pending.answer(replies.busy(self._policy.capacity_retry_after_us()))
             return
-        self._answers.watch_deadline(message)
+        self._answers.start_deadline_timer(message)
         pending.answer(replies.OK)
--- a/tests/test_key_window.py
+++ b/tests/test_key_window.py
@@ -1,4 +1,4 @@
-"""Idempotency keys with a window of one second, and restarts."""
+"""Retries of keyed messages with a key window of one second, across restarts: never after the window."""
 
 import asyncio
 import time
@@ -9,31 +9,31 @@
 from message_relay.server.journal import AcceptedMessage, Journal
 
 WINDOW_S = 1.0
-KEYED = 1  # the class
+KEYED = 1  # index of the keyed class
 
 
 class RestartedRelay:
-    """A relay that finds a keyed message in its journal whose attempt started `age` seconds ago."""
+    """A relay whose journal holds a keyed message with an attempt that started `age_s` seconds ago."""
 
-    def __init__(self, folder, scope, age, zone=0):
+    def __init__(self, folder, scope, age_s, zone=0):
         self.fleet = Fleet(folder)
         keyed = self.fleet.raw["classes"][KEYED]
         keyed["keyTtlUs"], keyed["keyScope"] = int(WINDOW_S * 1e6), scope
-        self.age, self.zone, self.folder = age, zone, folder
+        self.age_s, self.zone, self.folder = age_s, zone, folder
 
     async def __aenter__(self):
         await self.fleet.__aenter__()
         self.endpoint = await self.fleet.endpoint("a")
         journal = Journal(self.folder / "state", 3_000_000, WINDOW_S).acquire()
-        self.started_at = time.time() - self.age
+        self.started_at = time.time() - self.age_s
         journal.accept(AcceptedMessage(1, "m", KEYED, 0, 7, "k", self.started_at + 9, False, b"x"))
         journal.record_attempt([1], self.started_at, self.zone)
         journal.close()
         self.client = await self.fleet.start_relay()
         return self
 
-    async def __aexit__(self, *exc):
-        await self.fleet.__aexit__(*exc)
+    async def __aexit__(self, *exception_info):
+        await self.fleet.__aexit__(*exception_info)
 
 
 SCOPES = ["all", "zone", "cell"]
@@ -44,9 +44,8 @@
     async def run():
         async with RestartedRelay(tmp_path, scope, WINDOW_S) as restarted:
             final = await restarted.fleet.discovery.final()
-            assert (
-                final["id"] == "m" and time.time() - restarted.started_at < 2 * WINDOW_S
-            )  # its lifetime is 9 s
+            # The notice is not delayed until the message's lifetime of 9 s ends.
+            assert final["id"] == "m" and time.time() - restarted.started_at < 2 * WINDOW_S
             assert final["status"] == ("deferred" if scope == "all" else "undeliverable")
             assert restarted.endpoint.calls.empty()
 
@@ -73,14 +72,14 @@
             endpoint = await fleet.endpoint("b", "reset", "reset", "reset")
             fleet.discovery.change("b")
             await restarted.client.put("n", kind="keyed", key="j", life=8000)
-            *_, first = await endpoint.call()
+            *_, first_call_at = await endpoint.call()
             fleet.discovery.change("b", state="terminating")
             assert (await fleet.discovery.final())["id"] == "n"
             now = asyncio.get_running_loop().time()
-            assert now - first < WINDOW_S + 0.5  # its lifetime is 8 s
-            while not endpoint.calls.empty():  # those sent before the endpoint was known to be draining
-                *_, at = await bounded(endpoint.calls.get())
-                assert at - first < WINDOW_S
+            assert now - first_call_at < WINDOW_S + 0.5  # the message's lifetime is 8 s
+            while not endpoint.calls.empty():  # sent before the relay received the endpoint's new state
+                *_, call_at = await bounded(endpoint.calls.get())
+                assert call_at - first_call_at < WINDOW_S
 
     asyncio.run(run())
 
@@ -94,8 +93,8 @@
                 2, "x", KEYED, 0, 7, "y", now + 9, False, b"x", earlier_attempt_at_s=now
             )
             monkeypatch.setattr(time, "time", lambda: now + WINDOW_S / 2)
-            assert not relay.attempts._repeats_too_late(2)
+            assert not relay.attempts._key_window_expired(2)
             monkeypatch.setattr(time, "time", lambda: now + WINDOW_S)
-            assert relay.attempts._repeats_too_late(2)
+            assert relay.attempts._key_window_expired(2)
 
     asyncio.run(run())
