--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -144,7 +144,7 @@
         self.answers.notifier = self.notifier
         self.answers.on_message_ended = self._message_ended
         self.attempts.on_attempt_ended = self.lifecycle.exit_if_done
-        self.submissions.rejects_new_messages = self.lifecycle.rejects_clients
+        self.submissions.rejects_new_messages = self.lifecycle.quiesced_accept_period_over
 
     def unready_reason(self) -> str:
         """Return why clients must not be directed to this process, empty if it is ready for them."""
