--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -1,4 +1,4 @@
-"""Batches: what a relay sends as one call, and an outcome for each of its messages."""
+"""Batches: messages that the relay sends in one call, and the outcome of each."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
         rows = b'[{"id":"b1","state":"done"},{"id":"b2","state":"failed"},{"id":"b3","state":"busy"}]'
         return answer(200, rows, Retry_After="0.3")
 
-    # The first call shows that more than one may be in flight; then three are sent as one batch.
+    # A successful first call lets the policy send more than one message at once: the next three form a batch.
     endpoint = await fleet.endpoint("a", answer(200), mixed, dest=9, kind="bundles")
     client = await fleet.start_relay()
     await client.put("b0", dest=9)
@@ -26,9 +26,9 @@
 
 
 @with_fleet
-async def test_the_message_with_the_most_time_leads_its_batch(fleet):
-    # The call lasts until the deadline of its first message. Led by one with an earlier deadline, it would be
-    # abandoned then, and a response that still arrives would complete none of the others.
+async def test_the_message_with_the_latest_deadline_is_first_in_its_batch(fleet):
+    # The call lasts until the deadline of its first message. If that one had an earlier deadline than others,
+    # the call would be abandoned then, and a response that arrives later would complete none of them.
     endpoint = await fleet.endpoint("a", answer(200), b"", dest=9, kind="bundles")
     client = await fleet.start_relay()
     await client.put("b0", dest=9)
@@ -38,7 +38,7 @@
     assert [await client.line() for _ in lifetimes] == ["+OK"] * 3
     _, headers, body, _ = await endpoint.call()
     assert [row["id"] for row in json.loads(body)] == ["b2", "b3", "b1"]
-    assert (await fleet.discovery.final())["id"] == "b1"  # its own deadline has passed, and the call goes on
+    assert (await fleet.discovery.final())["id"] == "b1"  # its deadline has passed, the call continues
     rows = json.dumps([{"id": i, "state": "done"} for i in lifetimes]).encode()
     endpoint.writers.copy().pop().write(answer(200, rows))
     while fleet.relay.journal.messages:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,7 @@
-"""Idle clients that take all the descriptors they can get, while discovery is down."""
+"""File descriptors: idle clients that open as many connections as they can while discovery is down.
+
+The relay must still have descriptors for calls, discovery and the journal afterwards.
+"""
 
 import asyncio
 import contextlib
@@ -8,7 +11,7 @@
 
 
 async def open_silent_connections(port, count):
-    """Connections that send nothing; those that are rejected or closed are not opened again."""
+    """Open connections that send nothing, and return them; rejected ones are not retried."""
     opened = []
     for _ in range(count):
         with contextlib.suppress(OSError, asyncio.TimeoutError):
@@ -17,8 +20,10 @@
 
 
 @pytest.mark.parametrize("files", [64, 128, 256])
-@pytest.mark.parametrize("callers", [0, 40])
-def test_idle_clients_leave_descriptors_for_all_else_when_discovery_is_back(tmp_path, files, callers):
+@pytest.mark.parametrize("console_connections", [0, 40])
+def test_idle_clients_leave_descriptors_for_other_uses_when_discovery_recovers(
+    tmp_path, files, console_connections
+):
     async def run():
         async with Fleet(tmp_path, sockets=files) as fleet:
             endpoint = await fleet.endpoint("a")
@@ -27,7 +32,7 @@
             assert await active_client.put("before") == "+OK"
             assert (await endpoint.call())[1]["x-request-id"] == "before"
             idle_connections = await open_silent_connections(fleet.port, 2 * files)
-            idle_connections += await open_silent_connections(fleet.console_port, callers)
+            idle_connections += await open_silent_connections(fleet.console_port, console_connections)
             late_client = await Client().open(fleet.port)
             await fleet.discovery.start()
             assert await late_client.send(Client.command(b"PING")) == "+PONG"
@@ -36,7 +41,7 @@
             await bounded(fleet.discovery.watches.get())
             fleet.discovery.change("a", state="terminating")
             assert await active_client.put("nowhere", life=1500) == "+OK"
-            assert (await fleet.discovery.final())["id"] == "nowhere"  # its notice
+            assert (await fleet.discovery.final())["id"] == "nowhere"  # notices are sent as well
             metrics = await fleet.run_command("counters")
             assert metrics.startswith("ACK") and "app_hosts_listed 1\n" in metrics
             for _, writer in idle_connections:
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -1,4 +1,4 @@
-"""One relay server in this process, between scripted endpoints, discovery and clients."""
+"""A relay server in the test's process, with scripted endpoints, discovery and clients."""
 
 import asyncio
 import time
@@ -34,8 +34,8 @@
 
 
 @with_fleet
-async def test_a_retry_after_is_obeyed_and_passed_on(fleet):
-    # A Retry-After holds from when its response was written, for every message to that destination.
+async def test_a_retry_after_is_honored_and_reported(fleet):
+    # A Retry-After starts when the response is written and applies to all messages to the destination.
     endpoint = await fleet.endpoint("a", answer(429, Retry_After="0.7"))
     client = await fleet.start_relay()
     await client.put("m1")
@@ -89,7 +89,7 @@
 
 
 @with_fleet
-async def test_a_retry_is_not_written_on_a_connection_established_after_the_window_of_its_key(fleet):
+async def test_a_retry_is_not_written_on_a_connection_established_after_the_key_window(fleet):
     fleet.raw["classes"][1]["keyTtlUs"] = 700_000
     endpoint = await fleet.endpoint("a", "reset")
     client = await fleet.start_relay()
@@ -100,23 +100,23 @@
         await asyncio.sleep(0.01)
     connected(*established[0])
     applied_at = time.time()
-    while len(established) < 2:  # the retry's connection is established, but reported only after the window
+    while len(established) < 2:  # the retry's connection, which is reported only after the key window
         await asyncio.sleep(0.01)
     while time.time() < applied_at + 0.7:
         await asyncio.sleep(0.01)
     connected(*established[1])
-    assert (await fleet.discovery.final())["id"] == "m"  # and at once: no further attempt may start
+    assert (await fleet.discovery.final())["id"] == "m"  # notified at once, as no further attempt may start
     assert time.time() < applied_at + 2
     assert (await endpoint.call())[1]["idempotency-key"] == "k" and endpoint.calls.empty()
 
 
 @with_fleet
-async def test_discovery_is_lost_and_comes_back(fleet):
+async def test_the_relay_serves_while_discovery_is_down_and_reconnects_to_it(fleet):
     await fleet.endpoint("a")
     client = await fleet.start_relay()
     await bounded(fleet.discovery.watches.get())
     await fleet.discovery.stop()
-    await client.put("m1")  # uses the list that it has
+    await client.put("m1")  # sent with the latest endpoint list
     await fleet.endpoints["a"].call()
     endpoint = await fleet.endpoint("b", dest=8)
     fleet.discovery.rev += 1
@@ -127,7 +127,7 @@
 
 
 def test_a_silent_watch_is_opened_again(tmp_path, monkeypatch):
-    # A cut connection stays open and silent: only the missing empty lines show it.
+    # A connection cut in the network stays open without data: only the missing empty lines reveal it.
     monkeypatch.setattr("message_relay.server.discovery.endpoint_watch.SILENCE_TIMEOUT_S", 0.2)
 
     class SilentDiscovery(Discovery):
@@ -173,7 +173,7 @@
 @with_fleet
 async def test_over_capacity_messages_are_rejected_with_a_retry_after(fleet):
     fleet.raw = settings(policyLimits__maxOpen=4)
-    client = await fleet.start_relay()  # no endpoint: all that is accepted waits
+    client = await fleet.start_relay()  # there is no endpoint, so accepted messages stay open
     client.writer.write(b"".join(client.message(f"m{n}") for n in range(6)))
     answers = [await client.line() for n in range(6)]
     busy = [answer for answer in answers if answer.startswith("-BUSY ")]
@@ -182,7 +182,7 @@
 
 @with_fleet
 async def test_a_full_disk_rejects_messages(fleet):
-    # Old and new journal together must stay under the limit: more than that is a crash.
+    # The old and the new journal file together must stay under the disk limit: exceeding it is a crash.
     fleet.limits["disk_mb"] = 0.1
     client = await fleet.start_relay()
     answers = [await client.put(f"m{n}", body=b"x" * 9000) for n in range(10)]
@@ -192,7 +192,7 @@
     assert len(fleet.relay.journal.messages) == answers.count("+OK") < 10
     endpoint = await fleet.endpoint("a")
     fleet.discovery.rev += 1
-    fleet.discovery.drop()  # the watch is opened again and lists the endpoint: space becomes free
+    fleet.discovery.drop()  # the watch reconnects and lists the endpoint: deliveries free space
     for _ in range(answers.count("+OK")):
         await endpoint.call()
     assert await client.put("small") == "+OK"
@@ -210,7 +210,7 @@
         patch.setattr("message_relay.server.journal.file.os.write", fail)
         assert (await client.put("m1")).startswith("-BUSY")
     assert await client.put("m2") == "+OK"
-    assert (await endpoint.call())[1]["x-request-id"] == "m2"  # m1 was rejected, so it was not sent
+    assert (await endpoint.call())[1]["x-request-id"] == "m2"  # m1 was rejected, so it must not be sent
 
 
 @with_fleet
@@ -236,7 +236,7 @@
 
 @with_fleet
 async def test_a_client_that_closes_its_sending_side_still_gets_its_answer(fleet):
-    # Ending a connection with no answer loses the message.
+    # A connection closed without a reply would lose the message.
     endpoint = await fleet.endpoint("a")
     client = await fleet.start_relay()
     client.writer.write(client.message("m"))
@@ -248,7 +248,7 @@
 
 @with_fleet
 async def test_a_call_that_fails_by_an_internal_error_is_ended(fleet):
-    # An error in the relay's own code must neither end the process nor occupy a slot for good.
+    # An exception in the relay's code must neither end the process nor leave a call slot occupied.
     await fleet.endpoint("a")
     client = await fleet.start_relay()
     with pytest.MonkeyPatch.context() as patch:
@@ -261,8 +261,8 @@
 
 
 @with_fleet
-async def test_a_known_key_keeps_its_age(fleet):
-    # After the destination has forgotten a key, another attempt could be applied twice.
+async def test_the_window_of_a_reused_key_starts_with_its_first_attempt(fleet):
+    # After the window the destination no longer recognizes the key, and could apply the message again.
     endpoint = await fleet.endpoint("a", answer(500), answer(500), answer(500))
     client = await fleet.start_relay()
     await client.put("m1", kind="keyed", key="k")
@@ -270,7 +270,7 @@
     for _ in range(3):
         await endpoint.call()
     await client.put("m2", kind="keyed", key="k")
-    assert (await endpoint.call())[1]["idempotency-key"] == "k"  # inside the window
+    assert (await endpoint.call())[1]["idempotency-key"] == "k"  # the window has not passed
     fleet.relay.journal.idempotency_keys.add("k", time.time() - 8.5, time.time() + 9)
     assert (await client.put("m3", kind="keyed", key="k")).startswith("-BUSY")
     assert endpoint.calls.empty()
@@ -278,7 +278,8 @@
 
 @with_fleet
 async def test_the_key_of_an_open_message_passes_to_the_newer_message(fleet):
-    # A client without an answer in time submits its message anew: two copies must not be in flight at once.
+    # A client that gets no outcome in time submits a new message with the same key: two copies must not be in
+    # flight at once.
     endpoint = await fleet.endpoint("a", "hang")
     client = await fleet.start_relay()
     await client.put("m1", kind="keyed", key="k")
@@ -291,8 +292,9 @@
 
 
 @pytest.mark.parametrize("change", ["wait", "drain"])
-def test_a_change_holds_for_calls_that_were_decided_before_it(tmp_path, change):
-    # It can come while a connection for a call is established: the relay checks again before it writes.
+def test_a_change_applies_to_calls_that_were_decided_before_it(tmp_path, change):
+    # A Retry-After or a new state can arrive while a call's connection is established: the relay checks both
+    # again before it writes.
     async def run():
         async with Fleet(tmp_path) as fleet:
             endpoint = await fleet.endpoint("a")
@@ -306,7 +308,7 @@
                     relay.directory.entries[number], state=EndpointState.DRAINING
                 )
             assert await client.put("m", kind="unsafe") == "+OK"
-            assert (await fleet.discovery.final())["status"] == "deferred"  # it was never sent
+            assert (await fleet.discovery.final())["status"] == "deferred"  # the message was never sent
             assert endpoint.calls.empty()
 
     asyncio.run(run())
--- a/tests/test_restored_messages.py
+++ b/tests/test_restored_messages.py
@@ -1,4 +1,7 @@
-"""Messages accepted and not attempted before a restart are attempted after it, in small and large fleets."""
+"""Restored messages: accepted but never attempted before a restart, they are attempted after it.
+
+Unlike new messages, the policy must not reject them for lack of capacity, in small and in large fleets.
+"""
 
 import asyncio
 import signal
@@ -13,8 +16,8 @@
 RESTORED, SLOTS = 30, 4
 
 
-class Restarted:
-    """A policy whose first tick brings restored messages, while new ones keep coming."""
+class RestartedPolicy:
+    """A policy that receives restored messages in its first tick and new messages afterwards."""
 
     def __init__(
         self, instance_count, message_class, lifetime, latency, result=AttemptResult.OK, retry_after=0
@@ -48,7 +51,7 @@
             for due in [x for x in self.in_flight if x[0] <= self.driver.now]:
                 self.in_flight.remove(due)
                 result, retry_after = self.result, self.retry_after
-                self.result, self.retry_after = AttemptResult.OK, 0  # only the first is answered otherwise
+                self.result, self.retry_after = AttemptResult.OK, 0  # for all attempts after the first
                 self.record(self.driver.end_attempt(due[1], result, self.latency, 0, due[2], retry_after))
             for _ in range(new_messages if step % 2 else 0):
                 self.record(self.driver.submit(message_class=0))
@@ -59,34 +62,37 @@
 @pytest.mark.parametrize("instance_count", [SMALL, LARGE])
 def test_more_restored_messages_than_slots_are_attempted_before_new_ones(instance_count, message_class):
     assert (
-        len(Restarted(instance_count, message_class, 3 * SECOND, 100_000).run(3, new_messages=3)) == RESTORED
+        len(RestartedPolicy(instance_count, message_class, 3 * SECOND, 100_000).run(3, new_messages=3))
+        == RESTORED
     )
 
 
 @pytest.mark.parametrize("instance_count", [SMALL, LARGE])
 def test_restored_messages_get_all_slots_of_a_slow_destination(instance_count):
-    restarted = Restarted(instance_count, 0, 6 * SECOND, 500_000)
+    restarted = RestartedPolicy(instance_count, 0, 6 * SECOND, 500_000)
     assert len(restarted.run(6, new_messages=3)) > RESTORED / 2
     assert sorted(restarted.attempted[:RESTORED]) == list(range(1, RESTORED + 1))
 
 
 @pytest.mark.parametrize("instance_count", [SMALL, LARGE])
 def test_rejection_ends_one_restored_message_and_the_others_follow_after_the_wait(instance_count):
-    restarted = Restarted(instance_count, 0, 9 * SECOND, 100_000, AttemptResult.REJECTED, retry_after=300_000)
+    restarted = RestartedPolicy(
+        instance_count, 0, 9 * SECOND, 100_000, AttemptResult.REJECTED, retry_after=300_000
+    )
     assert len(restarted.run(9, new_messages=1)) == RESTORED
     assert [n for n in restarted.ended if n <= RESTORED] == [1]
 
 
 @pytest.mark.parametrize("instance_count", [SMALL, LARGE])
 def test_new_messages_are_rejected_before_restored_ones(instance_count):
-    # Nothing can be sent: the one endpoint is silent. New messages are rejected, and no restored one.
-    restarted = Restarted(instance_count, 0, 9 * SECOND, 99 * SECOND)
+    # No further message can be sent, as the only endpoint does not answer.
+    restarted = RestartedPolicy(instance_count, 0, 9 * SECOND, 99 * SECOND)
     restarted.run(5, new_messages=3)
     assert len([n for n in restarted.ended if n > RESTORED]) > 20
     assert [n for n in restarted.ended if n <= RESTORED] == []
 
 
-def test_restored_message_with_the_nearest_deadline_goes_first():
+def test_restored_message_with_the_earliest_deadline_is_attempted_first():
     driver = PolicyDriver()
     lifetimes_s = {1: 9, 2: 4, 3: 6}
     driver.run_tick(
@@ -105,7 +111,7 @@
             fleet.raw["groupSize"] = instance_count
             fleet.raw["familyInfo"]["maxCalls"] = SLOTS
             endpoint = await fleet.endpoint("a")
-            fleet.discovery.targets["a"]["state"] = "terminating"  # so that nothing is attempted before
+            fleet.discovery.targets["a"]["state"] = "terminating"  # no attempt starts before the restart
             client = await fleet.start_process()
             message_ids = [f"m{n}" for n in range(18)]
             for n, message_id in enumerate(message_ids):
