--- a/message_relay/server/attempt_runner.py
+++ b/message_relay/server/attempt_runner.py
@@ -139,7 +139,7 @@
     # Callbacks of the calls (CallObserver)
 
     def may_write(self, endpoint: int) -> bool:
-        """Return whether a call may be written: the endpoint is ready and not cordoned, and no wait applies.
+        """Return whether a call may be written: the endpoint is ready, not cordoned and has no Retry-After.
 
         This may have changed since the policy chose the endpoint, while the connection was established.
         """
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -40,7 +40,7 @@
 
 
 def sent_attempts(policy, now, *events):
-    return [a for a in policy.handle(now, events) if isinstance(a, SendAttempt)]
+    return [action for action in policy.handle(now, events) if isinstance(action, SendAttempt)]
 
 
 def test_cordoned_endpoint_gets_nothing_new_whatever_the_list_says():
@@ -50,9 +50,11 @@
     for _ in range(200):
         message, now = message + 1, now + 50_000
         sent = sent_attempts(policy, now, LISTED, MessageSubmitted(message, 0, 7, now + 60_000_000))
-        used_endpoints += [a.endpoint for a in sent]
-        for a in sent:
-            policy.handle(now + 1000, [AttemptEnded(a.message, 0, a.endpoint, AttemptResult.OK, 1000, True)])
+        used_endpoints += [attempt.endpoint for attempt in sent]
+        for attempt in sent:
+            policy.handle(
+                now + 1000, [AttemptEnded(attempt.message, 0, attempt.endpoint, AttemptResult.OK, 1000, True)]
+            )
     assert set(used_endpoints) == {2} and len(used_endpoints) > 150
     assert policy.endpoints_out_of_rotation() == [1]
 
@@ -67,8 +69,8 @@
             now += 5_000
             sent = sent_attempts(policy, now, MessageSubmitted(message, 0, 7, now + 60_000_000))
             count += len(sent)
-            for a in sent:
-                policy.handle(now + 1000, [AttemptEnded(a.message, 0, 1, AttemptResult.OK, 1000, True)])
+            for attempt in sent:
+                policy.handle(now + 1000, [AttemptEnded(attempt.message, 0, 1, AttemptResult.OK, 1000, True)])
         return count, policy
 
     without_cordon, _ = calls()
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -17,8 +17,13 @@
     body = bytes(range(256)) * 8 + b"\r\n*1\r\n$4\r\nPING\r\n"
     assert await client.send(client.command(b"PING")) == "+PONG"
     assert await client.put("m1", kind="keyed", key="k1", body=body) == "+OK"
-    path, headers, got, _ = await endpoint.call()
-    assert (path, headers["x-request-id"], headers["idempotency-key"], got) == ("/events", "m1", "k1", body)
+    path, headers, received_body, _ = await endpoint.call()
+    assert (path, headers["x-request-id"], headers["idempotency-key"], received_body) == (
+        "/events",
+        "m1",
+        "k1",
+        body,
+    )
     assert fleet.discovery.finals.empty()
 
 
