--- a/message_relay/server/resp/__init__.py
+++ b/message_relay/server/resp/__init__.py
@@ -1,1 +1,1 @@
-"""The RESP2 server that clients submit messages to."""
+"""RESP2 server to which clients submit messages."""
--- a/message_relay/server/resp/connection.py
+++ b/message_relay/server/resp/connection.py
@@ -1,4 +1,7 @@
-"""One client's connection: reads requests, dispatches them and sends the replies in order."""
+"""Connection of one client: reads requests, executes them and sends the replies in order.
+
+A request is open from the time it is completely read until its reply is passed to the socket writer.
+"""
 
 from __future__ import annotations
 
@@ -22,51 +25,49 @@
 from message_relay.server.resp.socket_writer import SocketWriter
 
 READ_BYTES = 1 << 16
-MAX_PIPELINED_REQUESTS = 32  # that may be open or read at once on one connection; clients send one at a time
-MAX_INVALID_REQUESTS = 3  # on one connection, which is closed with the last
-INVALID_REQUEST_PAUSE_S = (
-    0.1  # reading pauses for this after the first invalid request, then for twice as long
-)
-REQUEST_TIMEOUT_S = 2.0  # a request must be complete within this, the first one from the connect on
-IDLE_TIMEOUT_S = 3.0  # a connection that has sent a valid request is kept for this with no request open
-SILENT_CONNECTION_S = (
-    0.25  # one that has sent nothing for this since the connect is closed first to make room
-)
-FINAL_READS = 3  # of READ_BYTES each, at the end: the longest request is complete after two
+# Requests of one connection that may be open at once, or handled after one read; clients send one at a time.
+MAX_PIPELINED_REQUESTS = 32
+MAX_INVALID_REQUESTS = 3  # of one connection, which is closed after the last
+INVALID_REQUEST_PAUSE_S = 0.1  # of reading, after the first invalid request; doubled after each further one
+REQUEST_TIMEOUT_S = 2.0  # from the first to the last byte of a request; from the connect for the first one
+IDLE_TIMEOUT_S = 3.0  # without an open request, for a connection that has sent a valid one
+# A connection without a valid request that is older than this is silent: it is closed first at the limit.
+SILENT_CONNECTION_AGE_S = 0.25
+MAX_FINAL_READS = 3  # of READ_BYTES each, before the process exits; two are enough for the longest request
 log = logging.getLogger(__name__)
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the server that it belongs to."""
+    """Server that a connection belongs to, as far as the connection uses it."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The event loop that serves the connection."""
+        """Event loop that serves the connection."""
 
     @property
     def paused(self) -> bool:
-        """Whether nothing may be read for now."""
+        """Whether reading from connections is suspended."""
 
     @property
     def submit(self) -> Callable[[SubmitRequest, ReplyHandle], None]:
-        """Takes a submitted message; raises InvalidRequestError."""
+        """Callback that accepts a submitted message; it raises InvalidRequestError for an invalid one."""
 
     @property
     def unready_reason(self) -> Callable[[], str]:
-        """Returns why the instance is not ready for clients, empty if it is."""
+        """Callback that returns why the instance is not ready for clients, an empty string if it is ready."""
 
     def connection_active(self, connection: ClientConnection) -> None:
-        """Note that the connection has a request open."""
+        """Record that the connection has an open request."""
 
     def connection_idle(self, connection: ClientConnection) -> None:
-        """Note that the connection has no request open any more."""
+        """Record that the connection has no open request."""
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Note that the connection is closed."""
+        """Remove a closed connection."""
 
 
 class ReplyHandle:
-    """The place of one reply; replies leave in the order of their requests."""
+    """Handle through which the reply to one request is sent, in the order of the requests."""
 
     __slots__ = ("connection", "text")
 
@@ -76,18 +77,18 @@
 
     @property
     def client_connected(self) -> bool:
-        """Whether the client can still receive the reply."""
+        """Whether the connection is still open, so that the reply can be sent."""
         return not self.connection.closed
 
     def send(self, text: bytes) -> None:
-        """Send the reply once its turn has come; only the first call counts."""
+        """Send the reply as soon as all earlier ones are sent; calls after the first have no effect."""
         if not self.text:
             self.text = text
             self.connection.flush()
 
 
 class ClientConnection:
-    """One client's connection, on a non-blocking socket."""
+    """Connection of one client, on a non-blocking socket."""
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket) -> None:
         self.owner = owner
@@ -96,15 +97,15 @@
         self.reader = RequestReader()
         self.writer = SocketWriter(self.loop, sock, on_writable=self.flush, on_failure=self.close)
         self.pending_replies: deque[ReplyHandle] = deque()
-        self.closing = False  # nothing more is read, the replies that are pending are still sent
+        self.closing = False  # nothing more is read; pending replies are still sent
         self.closed = False
         self.has_sent_valid_request = False
         self.invalid_requests = 0
         self.connected_at_s = self.loop.time()
-        self.close_at_s = (
-            self.connected_at_s + REQUEST_TIMEOUT_S
-        )  # unless a complete request has come by then
-        self.read_pause: asyncio.TimerHandle | None = None
+        # Time from which close_if_overdue() closes the connection. It is postponed when all replies are sent,
+        # and when a client that has sent a valid request begins another.
+        self.close_at_s = self.connected_at_s + REQUEST_TIMEOUT_S
+        self.read_pause: asyncio.TimerHandle | None = None  # ends the pause after an invalid request
         self.loop.add_reader(sock, self._on_readable)
 
     def _on_readable(self) -> None:
@@ -115,7 +116,7 @@
         except OSError:
             self.close()
             return
-        if not data:  # a client that has shut down its sending side still gets the replies that it waits for
+        if not data:  # the client has shut down its sending side; it still gets the pending replies
             self._stop_reading()
             self.flush()
             return
@@ -125,7 +126,11 @@
         self._handle_complete_requests()
 
     def _handle_complete_requests(self) -> None:
-        """Handle the requests that are complete; the buffer and the number of open requests are bounded."""
+        """Handle the complete requests in the buffer.
+
+        Invalid framing, or more than MAX_PIPELINED_REQUESTS at once, is answered with a protocol error and
+        closes the connection. The limit bounds the buffer and the number of open requests.
+        """
         handled = 0
         try:
             while not self.closing and self.read_pause is None:
@@ -134,7 +139,9 @@
                     return
                 handled += 1
                 if handled > MAX_PIPELINED_REQUESTS or len(self.pending_replies) >= MAX_PIPELINED_REQUESTS:
-                    raise ProtocolError("too many requests at once")
+                    raise ProtocolError(
+                        f"too many pipelined requests, expected at most {MAX_PIPELINED_REQUESTS}"
+                    )
                 self._handle(arguments)
         except ProtocolError as error:
             self._stop_reading()
@@ -162,9 +169,9 @@
                 reply.send(replies.OK)
 
     def _reject(self, reply: ReplyHandle, error: InvalidRequestError) -> None:
-        """Reject an invalid request and pause reading, or close the connection after the last one allowed.
+        """Send an error reply and pause reading, or close the connection after MAX_INVALID_REQUESTS.
 
-        A client that repeats its request as soon as it is rejected must not take the turns of the others.
+        Without the pause, a client that repeats an invalid request immediately would delay the other clients.
         """
         log.warning("request rejected: reason=%r", str(error))
         self.invalid_requests += 1
@@ -194,7 +201,10 @@
         return reply
 
     def flush(self) -> None:
-        """Send the replies whose turn it is; a connection that is closing closes after the last."""
+        """Send the available replies up to the first that is pending.
+
+        A connection that is closing is closed after its last reply.
+        """
         while self.pending_replies and self.pending_replies[0].text:
             self.writer.unsent += self.pending_replies.popleft().text
         if self.closed:
@@ -214,11 +224,11 @@
 
     @property
     def transferable(self) -> bool:
-        """Whether another process can continue it: it waits for no reply and is not closing."""
+        """Whether another process can continue the connection: it has no open request and is not closing."""
         return not self.closing and not self.pending_replies
 
     def export_state(self) -> list[Any]:
-        """Return what another process needs to continue the connection."""
+        """Return the state that another process needs to continue the connection."""
         return [
             self.reader.export_state(),
             self.writer.unsent,
@@ -227,7 +237,7 @@
         ]
 
     def import_state(self, values: list[Any]) -> None:
-        """Continue a connection from what another process exported."""
+        """Continue the connection with the state that another process exported."""
         reader_state, self.writer.unsent, self.has_sent_valid_request, self.invalid_requests = values
         self.reader.import_state(reader_state)
         self._restart_timeout(self.connected_at_s)
@@ -236,47 +246,58 @@
         self.loop.call_soon(self._continue_transferred)
 
     def _continue_transferred(self) -> None:
-        """Handle requests that the other process has read completely and not handled."""
+        """Handle the requests that the other process has read completely but not handled."""
         if not self.closed:
             self._handle_complete_requests()
             self.flush()
 
     def pause(self) -> None:
-        """Read nothing more for now."""
+        """Stop reading until resume()."""
         self.loop.remove_reader(self.sock)
 
     def resume(self) -> None:
-        """Read again after pause()."""
+        """Continue reading after pause(), except while closing or pausing after an invalid request."""
         if self._accepts_requests:
             self.loop.add_reader(self.sock, self._on_readable)
 
     @property
     def between_requests(self) -> bool:
-        """Whether no request is open or half read and no reply is unsent."""
+        """Whether no request is open or partially read and all replies are sent."""
         return not self.pending_replies and not self.writer.unsent and not self.reader.mid_request
 
     def close_if_overdue(self, now_s: float) -> None:
-        """Close it if no request has been open for too long, or if one did not become complete in time."""
+        """Close the connection if its timeout has passed and no request is open.
+
+        If a request is partially read, an error reply is sent first. Otherwise the connection stays open
+        while data waits to be read.
+        """
         if now_s < self.close_at_s or self.pending_replies:
             return
         if self.reader.mid_request and not self.closing:
             self._stop_reading()
-            self._add_reply().send(replies.error("the request did not become whole in time"))
+            self._add_reply().send(replies.error("request timed out before it was complete"))
         else:
             self.close_if_nothing_unread()
 
     def close_if_nothing_unread(self) -> bool:
-        """Close it unless the client has sent what is still unread; return whether it was closed."""
+        """Close the connection unless data of the client waits to be read; return whether it was closed."""
         if self._accepts_requests and has_unread_data(self.sock):
             return False
         self.close()
         return True
 
     def close_when_idle(self) -> None:
-        """Close it if nothing is pending or unread; a connection that is new is about to send a request."""
+        """Close the connection if no request is open or partially read and all replies are sent.
+
+        If data waits to be read, it is read instead. A new connection without a valid request stays open
+        because its first request is probably on its way.
+        """
         if not self.between_requests:
             return
-        if not self.has_sent_valid_request and self.loop.time() - self.connected_at_s < SILENT_CONNECTION_S:
+        if (
+            not self.has_sent_valid_request
+            and self.loop.time() - self.connected_at_s < SILENT_CONNECTION_AGE_S
+        ):
             return
         if self._accepts_requests and has_unread_data(self.sock):
             self._on_readable()
@@ -284,8 +305,8 @@
             self.close()
 
     def read_pending(self) -> None:
-        """Read what has arrived by now: nothing will be read after this."""
-        for _ in range(FINAL_READS):
+        """Read the data that has arrived; called before the process exits, when nothing is read any more."""
+        for _ in range(MAX_FINAL_READS):
             if not self._accepts_requests or not has_unread_data(self.sock):
                 return
             self._on_readable()
@@ -295,7 +316,7 @@
         return not self.closing and self.read_pause is None
 
     def close(self) -> None:
-        """Close it at once; replies that are pending are lost."""
+        """Close the connection at once and discard the pending replies."""
         if self.closed:
             return
         self.closed = self.closing = True
@@ -308,7 +329,7 @@
 
 
 def has_unread_data(sock: socket.socket) -> bool:
-    """Return whether the kernel holds data of the peer that was not read yet."""
+    """Return whether the kernel holds data from the peer that has not been read."""
     try:
         return bool(sock.recv(1, socket.MSG_PEEK))
     except OSError:
--- a/message_relay/server/resp/connection_table.py
+++ b/message_relay/server/resp/connection_table.py
@@ -1,80 +1,84 @@
-"""The open client connections, and which of them are closed when places run short."""
+"""Table of the open client connections; it selects the ones to close when their number reaches the limit."""
 
 from __future__ import annotations
 
-from message_relay.server.resp.connection import SILENT_CONNECTION_S, ClientConnection
+from message_relay.server.resp.connection import SILENT_CONNECTION_AGE_S, ClientConnection
 
-IDLE_CONNECTION_SHARE = 0.25  # of the places for clients may be taken by connections with no request open
+IDLE_CONNECTION_SHARE = 0.25  # of max_connections: upper bound for idle connections, and for silent ones
 
 
 class ConnectionTable:
-    """Open connections in the order in which they came, with a limit on their number."""
+    """Open client connections in the order in which they were accepted, with a limit on their number."""
 
     def __init__(self, max_connections: int) -> None:
         self.max_connections = max_connections
-        self.connections: dict[ClientConnection, None] = {}  # the oldest first
-        self.idle: dict[
-            ClientConnection, None
-        ] = {}  # with a valid request and none open, the longest idle first
+        self.connections: dict[ClientConnection, None] = {}  # oldest first
+        # Connections that have sent a valid request and have no open one, longest idle first.
+        self.idle: dict[ClientConnection, None] = {}
 
     @property
     def full(self) -> bool:
-        """Whether all places are taken."""
+        """Whether the number of connections has reached the limit."""
         return len(self.connections) >= self.max_connections
 
     @property
     def max_idle_connections(self) -> float:
-        """How many connections with no request open are kept."""
+        """Upper bound for the number of idle connections, and for that of silent ones."""
         return self.max_connections * IDLE_CONNECTION_SHARE
 
     def add(self, connection: ClientConnection) -> None:
-        """Add a connection as the newest."""
+        """Add a newly accepted connection."""
         self.connections[connection] = None
 
     def remove(self, connection: ClientConnection) -> None:
-        """Remove a connection that is closed."""
+        """Remove a closed connection."""
         self.connections.pop(connection, None)
         self.idle.pop(connection, None)
 
     def mark_active(self, connection: ClientConnection) -> None:
-        """Note that a connection has a request open."""
+        """Record that a connection has an open request."""
         self.idle.pop(connection, None)
 
     def mark_idle(self, connection: ClientConnection) -> None:
-        """Note that a connection has no request open any more; close the longest idle if there are too many.
+        """Record that a connection has no open request; close the longest idle one if too many are idle.
 
-        Where each client submits once and keeps its connection, the idle ones would take the places of
-        new clients.
+        Clients that submit once and keep their connections open would otherwise use up the limit, and new
+        clients could not connect.
         """
         self.idle.pop(connection, None)
         self.idle[connection] = None
         if len(self.idle) > self.max_idle_connections:
             self._close_longest_idle()
 
-    def make_room(self, now_s: float) -> bool:
-        """Close one connection, never one with a request open; return whether a place is free now.
+    def evict_connection(self, now_s: float) -> bool:
+        """Close one connection without an open request; return whether one was closed.
 
-        The first choice is one that has been silent since it came, then the longest idle, then the oldest
-        without a valid request. A new connection is about to send, so it is spared, but not where most places
-        are taken by such ones: a crowd that sends nothing would displace the clients that do.
+        The candidates are, in this order: the oldest connection that has sent no valid request, if it is
+        older than SILENT_CONNECTION_AGE_S; the longest idle connection; the oldest connection that has sent
+        no valid request, at any age. A new connection comes last because its first request is probably on its
+        way. If more than half of max_connections have sent no valid request, the oldest of them comes first
+        at any age: connections that send nothing would otherwise displace those of clients that submit
+        messages.
         """
-        unproven = self._without_valid_request()
-        oldest = unproven[0] if unproven else None
+        without_request = self._without_valid_request()
+        oldest = without_request[0] if without_request else None
         if oldest is not None:
-            crowded = 2 * len(unproven) > self.max_connections
-            silent = now_s - oldest.connected_at_s > SILENT_CONNECTION_S
-            if (crowded or silent) and oldest.close_if_nothing_unread():
+            exceed_half = 2 * len(without_request) > self.max_connections
+            silent = now_s - oldest.connected_at_s > SILENT_CONNECTION_AGE_S
+            if (exceed_half or silent) and oldest.close_if_nothing_unread():
                 return True
         if self._close_longest_idle():
             return True
         return oldest is not None and not oldest.closed and oldest.close_if_nothing_unread()
 
     def sweep(self, now_s: float) -> None:
-        """Close overdue connections, and the oldest silent ones beyond their share of the places."""
+        """Close overdue connections, and the oldest silent ones in excess of max_idle_connections."""
         overdue = [c for c in self.connections if c.close_at_s <= now_s]
         for connection in overdue:
             connection.close_if_overdue(now_s)
-        silent = [c for c in self._without_valid_request() if now_s - c.connected_at_s > SILENT_CONNECTION_S]
+        silent = [
+            c for c in self._without_valid_request() if now_s - c.connected_at_s > SILENT_CONNECTION_AGE_S
+        ]
         excess = max(0, len(silent) - int(self.max_idle_connections))
         for connection in silent[:excess]:
             connection.close_if_nothing_unread()
--- a/message_relay/server/resp/errors.py
+++ b/message_relay/server/resp/errors.py
@@ -1,7 +1,7 @@
-"""The base of the errors that a client's input can cause."""
+"""Base class of the errors that a client's input can cause."""
 
 from __future__ import annotations
 
 
 class RespError(ValueError):
-    """What a client has sent cannot be used."""
+    """Data from a client that is not a valid request."""
--- a/message_relay/server/resp/replies.py
+++ b/message_relay/server/resp/replies.py
@@ -1,8 +1,8 @@
-"""The replies to clients, as they go out."""
+"""Replies to clients, as bytes of the RESP2 protocol."""
 
 from __future__ import annotations
 
-MAX_ERROR_TEXT_BYTES = 200  # an error must stay one short line, whatever its text holds
+MAX_ERROR_TEXT_BYTES = 200  # an error reply stays one short line even if its text quotes a long value
 US_PER_MS = 1000
 
 OK = b"+OK\r\n"
@@ -12,7 +12,10 @@
 
 
 def busy(retry_after_us: int) -> bytes:
-    """Return the reply to a message that is rejected for now, with the wait in ms (rounded up) if any."""
+    """Return the reply to a message that is rejected for now.
+
+    It contains the time to wait before resubmitting, in ms rounded up, if `retry_after_us` is above 0.
+    """
     if retry_after_us <= 0:
         return b"-BUSY\r\n"
     retry_after_ms = -(-retry_after_us // US_PER_MS)
@@ -20,7 +23,7 @@
 
 
 def error(text: str) -> bytes:
-    """Return an error reply with the text made one line of ASCII."""
+    """Return an error reply; the text is converted to a single line of ASCII and truncated."""
     line = " ".join(text.split()).encode("ascii", "replace")
     return b"-ERR %s\r\n" % line[:MAX_ERROR_TEXT_BYTES]
 
--- a/message_relay/server/resp/server.py
+++ b/message_relay/server/resp/server.py
@@ -1,4 +1,4 @@
-"""The RESP2 server that clients submit messages to."""
+"""RESP2 server to which clients submit messages."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
 from message_relay.server.resp.connection_table import ConnectionTable
 
 LISTEN_BACKLOG = 512
-MAX_ACCEPTS_PER_TURN = 16  # connections accepted in one loop turn: the usual clients wait for the turn's end
-ACCEPT_PAUSE_S = 0.05  # accepting pauses for this when no descriptor can be freed
-SWEEP_INTERVAL_S = 0.25
+# Connections accepted in one iteration of the event loop; open connections are served after it.
+MAX_ACCEPTS_PER_ITERATION = 16
+ACCEPT_PAUSE_S = 0.05  # of accepting, after a failure or when no connection can be closed for a new one
+SWEEP_INTERVAL_S = 0.25  # between checks for overdue and silent connections
 OUT_OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 log = logging.getLogger(__name__)
 
 
 class ClientServer:
-    """Accepts clients and passes what they submit to `submit`.
+    """Accepts client connections and passes the submitted messages to `submit`.
 
-    It accepts connections itself. asyncio's server would accept its whole backlog in one turn, before
-    anything can be closed, and would pause for a second when descriptors run out.
+    It does not use asyncio's server, which accepts the complete backlog in one iteration of the event loop,
+    before any connection can be closed, and stops accepting for a second when descriptors run out.
     """
 
     def __init__(
@@ -36,22 +37,24 @@
         unready_reason: Callable[[], str],
     ) -> None:
         self.submit = submit
-        self.unready_reason = unready_reason  # why a PING gets an error, empty if it gets a PONG
+        self.unready_reason = (
+            unready_reason  # returns the error for a PING, empty if it is answered with PONG
+        )
         self.table = ConnectionTable(max_connections)
         self.loop = asyncio.get_event_loop()
         self.listening_socket: socket.socket | None = None
         self.accept_timer: asyncio.TimerHandle | None = None
         self.sweep_timer: asyncio.TimerHandle | None = None
-        self.paused = False  # nothing is accepted or read while another process may take over
+        self.paused = False  # no accepting or reading while another process may take over the connections
 
     @property
     def connections(self) -> dict[ClientConnection, None]:
-        """The open connections, the oldest first."""
+        """Open connections, oldest first."""
         return self.table.connections
 
     @property
     def idle(self) -> dict[ClientConnection, None]:
-        """The connections that have sent a valid request and have none open, the longest idle first."""
+        """Connections that have sent a valid request and have no open one, longest idle first."""
         return self.table.idle
 
     @property
@@ -60,7 +63,7 @@
         return self.listening_socket is not None
 
     async def listen(self, host: str, port: int, fd: int = -1) -> int:
-        """Listen at the address, or on the listening socket `fd` if it is given; return the port.
+        """Listen at the address, or on the listening socket `fd` if it is not negative; return the port.
 
         Raises OSError if the address cannot be bound.
         """
@@ -76,7 +79,7 @@
         return int(self.listening_socket.getsockname()[1])
 
     def pause(self) -> None:
-        """Accept and read nothing more for now: what arrives waits in the kernel."""
+        """Stop accepting and reading until resume(); new connections and data wait in the kernel."""
         self.paused = True
         if self.listening_socket is not None:
             self.loop.remove_reader(self.listening_socket)
@@ -84,14 +87,14 @@
             connection.pause()
 
     def resume(self) -> None:
-        """Accept and read again after pause()."""
+        """Continue accepting and reading after pause()."""
         self.paused = False
         self._start_accepting()
         for connection in list(self.connections):
             connection.resume()
 
     def adopt(self, fd: int, state: list[Any]) -> None:
-        """Continue a connection of another process, from its descriptor and exported state."""
+        """Continue a connection of another process, given its descriptor and the exported state."""
         sock = socket.socket(fileno=fd)
         sock.setblocking(False)
         connection = ClientConnection(self, sock)
@@ -99,7 +102,7 @@
         connection.import_state(state)
 
     def accept_pending(self) -> None:
-        """Accept the connections that wait in the backlog: closing the listening socket would reset them."""
+        """Accept the connections in the backlog, which closing the listening socket would reset."""
         while self.listening_socket is not None and not self.paused:
             count_before = len(self.connections)
             self._on_acceptable()
@@ -107,21 +110,21 @@
                 return
 
     def read_pending(self) -> None:
-        """Read what clients have sent by now, before the end."""
+        """Read the data that clients have sent; called before the process exits."""
         if self.paused:
             return
         for connection in list(self.connections):
             connection.read_pending()
 
     def stop_listening(self) -> None:
-        """Close the listening socket; open connections stay."""
+        """Close the listening socket; open connections stay open."""
         if self.listening_socket is not None:
             self.loop.remove_reader(self.listening_socket)
             self.listening_socket.close()
             self.listening_socket = None
 
     def close_idle_connections(self) -> None:
-        """Close the connections that are between requests: one with a request open would lose its reply."""
+        """Close the connections without an open request; the others would lose their replies."""
         if self.paused:
             return
         for connection in list(self.connections):
@@ -137,15 +140,15 @@
             connection.close()
 
     def connection_active(self, connection: ClientConnection) -> None:
-        """Note that the connection has a request open."""
+        """Record that the connection has an open request."""
         self.table.mark_active(connection)
 
     def connection_idle(self, connection: ClientConnection) -> None:
-        """Note that the connection has no request open any more."""
+        """Record that the connection has no open request."""
         self.table.mark_idle(connection)
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Note that the connection is closed."""
+        """Remove a closed connection."""
         self.table.remove(connection)
 
     def _start_accepting(self) -> None:
@@ -153,16 +156,16 @@
             self.loop.add_reader(self.listening_socket, self._on_acceptable)
 
     def _pause_accepting(self) -> None:
-        """Leave new connections in the backlog for a moment, as no descriptor can be freed."""
+        """Leave new connections in the backlog for ACCEPT_PAUSE_S."""
         if self.listening_socket is not None:
             self.loop.remove_reader(self.listening_socket)
             self.accept_timer = self.loop.call_later(ACCEPT_PAUSE_S, self._start_accepting)
 
     def _on_acceptable(self) -> None:
-        for _ in range(MAX_ACCEPTS_PER_TURN):
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             if self.listening_socket is None:
                 return
-            if self.table.full and not self._make_room():
+            if self.table.full and not self._evict_connection():
                 self._pause_accepting()
                 return
             try:
@@ -170,8 +173,8 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError as error:
-                log.error("cannot accept a connection: error=%r", str(error))
-                if error.errno not in OUT_OF_RESOURCES or not self._make_room():
+                log.error("accepting a connection failed: error=%r", str(error))
+                if error.errno not in OUT_OF_RESOURCES or not self._evict_connection():
                     self._pause_accepting()
                     return
             else:
@@ -183,10 +186,10 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.table.add(ClientConnection(self, sock))
 
-    def _make_room(self) -> bool:
-        return self.table.make_room(self.loop.time())
+    def _evict_connection(self) -> bool:
+        return self.table.evict_connection(self.loop.time())
 
     def _sweep_periodically(self) -> None:
-        if not self.paused:  # the connections may belong to another process by now
+        if not self.paused:  # while paused, the connections may belong to another process
             self.table.sweep(self.loop.time())
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep_periodically)
--- a/message_relay/server/resp/socket_writer.py
+++ b/message_relay/server/resp/socket_writer.py
@@ -1,4 +1,4 @@
-"""Buffered writing to a non-blocking socket."""
+"""Buffered writer for a non-blocking socket."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 import socket
 from collections.abc import Callable
 
-MAX_UNSENT_BYTES = 1 << 16  # of replies that a client may leave unread
+MAX_UNSENT_BYTES = 1 << 16  # buffered replies of a client that does not read them
 
 
 class SocketWriter:
-    """Sends what it can at once and keeps the rest until the socket is writable again."""
+    """Sends bytes immediately if possible and buffers the rest until the socket is writable again."""
 
     __slots__ = ("loop", "on_failure", "on_writable", "sock", "unsent")
 
@@ -23,12 +23,12 @@
     ) -> None:
         self.loop = loop
         self.sock = sock
-        self.on_writable = on_writable  # the caller then writes again
-        self.on_failure = on_failure  # the connection has failed, or the peer does not read
+        self.on_writable = on_writable  # called when the socket is writable again, to call write()
+        self.on_failure = on_failure  # called if sending fails or the buffer exceeds MAX_UNSENT_BYTES
         self.unsent = b""
 
     def write(self) -> None:
-        """Send as much of the unsent bytes as the socket takes."""
+        """Send as many of the unsent bytes as the socket accepts."""
         try:
             sent_bytes = self.sock.send(self.unsent)
         except (BlockingIOError, InterruptedError):
