--- a/message_relay/server/admin_console.py
+++ b/message_relay/server/admin_console.py
@@ -1,6 +1,6 @@
-"""The operators' console: one command line in, one answer, close.
+"""Console for operators: reads one command line per connection, executes it and sends the answer.
 
-It parses the line, carries the command out through `AdminCommands` and sends the answer.
+The commands are implemented by `AdminCommands`; this module parses the line and formats the answer.
 """
 
 from __future__ import annotations
@@ -14,10 +14,11 @@
 
 from message_relay.server.configuration import Address
 
-MAX_LINE_BYTES = 512  # of a command, its line end included
-COMMAND_TIMEOUT_S = 2.0  # a command must be complete within this
-LINGER_S = 0.5  # what a caller sends after its command is read for this: closing on it would lose the answer
-MAX_CONNECTIONS = 24  # at once; the oldest is aborted when there are more
+MAX_LINE_BYTES = 512  # of a command line, without its line feed
+COMMAND_TIMEOUT_S = 2.0  # from the connect to the end of the command line
+# Input after the command is discarded for this time: closing with unread input would lose the answer.
+LINGER_S = 0.5
+MAX_CONNECTIONS = 24  # at once; with a further one the oldest is aborted
 ENDPOINT_ID = re.compile(r"[\x21-\x7e]{1,256}")
 ACKNOWLEDGED = "ACK"
 REJECTED = "NAK"
@@ -26,37 +27,37 @@
 
 
 class CommandRejectedError(Exception):
-    """The command is not carried out; the text is the reason that the operator reads."""
+    """A command was not executed. The text is the reason, which is sent to the operator."""
 
 
 class AdminCommands(Protocol):
-    """What the console can ask for; each method may raise CommandRejectedError."""
+    """Commands of the console; each method may raise CommandRejectedError."""
 
     def check_health(self) -> None:
-        """Return if the instance is ready for clients."""
+        """Raise CommandRejectedError with the reason if the instance is not ready for clients."""
 
     def render_metrics(self) -> str:
-        """Return the metrics, one a line."""
+        """Return the metrics, one per line."""
 
     def cordon(self, uid: str) -> None:
-        """Start no more attempts at the endpoint."""
+        """Start no further attempts at the endpoint."""
 
     def uncordon(self, uid: str) -> None:
-        """Start attempts at the endpoint again."""
+        """Allow attempts at the endpoint again."""
 
     def quiesce(self) -> None:
-        """Send clients away and finish what is open."""
+        """Report the instance as not ready; later also close idle client connections and reject messages."""
 
     def resume(self) -> None:
-        """Undo quiesce()."""
+        """Serve clients again after quiesce()."""
 
 
 def execute_line(line: bytes, commands: AdminCommands) -> str:
-    """Carry out one command line and return the answer."""
+    """Execute one command line and return the answer."""
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError:
-        return _rejection("a call is plain ASCII")
+        return _rejection(f"expected a command in ASCII, got {line!r:.80}")
     name = words[0] if words else ""
     try:
         result = _execute(name, words[1:], commands)
@@ -69,7 +70,7 @@
 
 
 def _execute(name: str, arguments: list[str], commands: AdminCommands) -> str:
-    """Carry out one command; return what follows the acknowledgement."""
+    """Execute one command; return the text that follows the acknowledgement."""
     without_arguments: dict[str, Callable[[], str | None]] = {
         "health": commands.check_health,
         "quiesce": commands.quiesce,
@@ -79,15 +80,20 @@
     with_endpoint = {"cordon": commands.cordon, "uncordon": commands.uncordon}
     if name in without_arguments:
         if arguments:
-            raise CommandRejectedError(f"{name} takes nothing more")
+            raise CommandRejectedError(f"{name} expects no arguments, got {' '.join(arguments)!r:.80}")
         result = without_arguments[name]()
         return f"{result}{END_OF_METRICS}\n" if name == "counters" else ""
     if name in with_endpoint:
         if len(arguments) != 1 or not ENDPOINT_ID.fullmatch(arguments[0]):
-            raise CommandRejectedError(f"{name} takes the id of one endpoint")
+            raise CommandRejectedError(
+                f"{name} expects one endpoint id of 1 to 256 printable ASCII characters, "
+                f"got {' '.join(arguments)!r:.80}"
+            )
         with_endpoint[name](arguments[0])
         return ""
-    raise CommandRejectedError("no such call")
+    raise CommandRejectedError(
+        f"unknown command {name!r:.80}, expected one of {', '.join([*without_arguments, *with_endpoint])}"
+    )
 
 
 def _rejection(reason: str) -> str:
@@ -95,12 +101,12 @@
 
 
 class AdminConsole:
-    """Listens for operators."""
+    """TCP server of the console."""
 
     def __init__(self, commands: AdminCommands) -> None:
         self.commands = commands
         self.server: asyncio.Server | None = None
-        self.connections: dict[asyncio.StreamWriter, None] = {}  # the oldest first
+        self.connections: dict[asyncio.StreamWriter, None] = {}  # oldest first
 
     async def listen(self, address: Address) -> int:
         """Listen at the address; return the port. Raises OSError if it cannot be bound."""
@@ -113,7 +119,7 @@
             oldest = next(iter(self.connections))
             oldest.transport.abort()
         try:
-            # Cancelled only with the whole process: a caller that goes away is no error of the relay.
+            # Cancelled only when the process ends. A caller that disconnects is not an error of the relay.
             with contextlib.suppress(OSError, asyncio.CancelledError):
                 answer = await self._read_and_execute(reader)
                 writer.write(answer.encode("ascii", "replace"))
@@ -132,11 +138,11 @@
                 line = await reader.readuntil(b"\n")
                 return execute_line(line, self.commands)
         except TimeoutError:
-            return _rejection("the call did not become whole in time")
+            return _rejection(f"command line was not complete within {COMMAND_TIMEOUT_S:g} s")
         except asyncio.LimitOverrunError:
-            return _rejection("the line is too long")
-        except asyncio.IncompleteReadError:  # a truncated line could name another endpoint
-            return _rejection("the line has no end")
+            return _rejection(f"command line is too long, expected at most {MAX_LINE_BYTES} bytes")
+        except asyncio.IncompleteReadError:  # not executed: a truncated id could be that of another endpoint
+            return _rejection("command line is not terminated by a line feed")
 
     def close(self) -> None:
         """Stop listening and abort the open connections."""
