--- a/message_relay/server/configuration.py
+++ b/message_relay/server/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration at the start: environment variables, and the JSON file that LB_CONFIG names."""
+"""Configuration of an instance: environment variables, and the JSON file named by LB_CONFIG."""
 
 from __future__ import annotations
 
@@ -12,38 +12,37 @@
 from message_relay.model import Settings
 from message_relay.simulator_adapter import settings_json
 
-# For a file that sets no limits.
-DEFAULT_MAX_DESCRIPTORS = 1024
-DEFAULT_DISK_LIMIT_MB = 3
+DEFAULT_MAX_DESCRIPTORS = 1024  # if the file has no limits.sockets
+DEFAULT_DISK_LIMIT_MB = 3  # if the file has no limits.disk_mb
 BYTES_PER_MB = 1_000_000
 MAX_PORT = 65535
 
 
 class ConfigurationError(Exception):
-    """A value that is missing or wrong; the text is one line that starts with the name of its field."""
+    """A value that is missing or not valid. The text is one line that starts with the name of the field."""
 
 
 class Address(NamedTuple):
-    """A TCP address; an IPv6 host stands without brackets."""
+    """TCP address; an IPv6 host is stored without brackets."""
 
     host: str
     port: int
 
 
 class CachedEndpointList(NamedTuple):
-    """The endpoint list at the time the configuration was written; targets are the entries as they came."""
+    """Endpoint list of the time when the configuration file was written; its targets are unparsed entries."""
 
     revision: int
     targets: list[dict[str, Any]]
 
 
 class RelayConfiguration(NamedTuple):
-    """The configuration of one instance.
+    """Configuration of one instance.
 
-    max_descriptors: how many file descriptors the process may have open; disk_limit_bytes: how much the state
-    directory may hold; zones: the zones' names in the order of their numbers; console_address: where the
-    admin console listens, None for no console; listen_fd: a listening socket that the platform passed on, -1
-    for none.
+    max_descriptors: upper bound for the open file descriptors of the process; disk_limit_bytes: upper bound
+    for the size of the state directory; zones: names of the zones, indexed by zone number; console_address:
+    address of the admin console, None for no console; listen_fd: descriptor of a listening socket that the
+    platform has opened, -1 for none.
     """
 
     name: str
@@ -61,17 +60,20 @@
 
 
 def parse_address(text: Any, field: str) -> Address:
-    """Parse HOST:PORT, such as '10.0.0.4:6379'; ConfigurationError names the field if it is malformed."""
+    """Parse HOST:PORT, such as '10.0.0.4:6379'.
+
+    Raises ConfigurationError, which names the field, if the text is malformed.
+    """
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not colon or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
-        raise ConfigurationError(f"{field}: must be HOST:PORT, not {text!r}")
+        raise ConfigurationError(f"{field}: expected HOST:PORT, got {text!r:.200}")
     return Address(host.strip("[]"), int(port))
 
 
 def load_configuration(environment: Mapping[str, str]) -> RelayConfiguration:
-    """Load the configuration; the environment wins where both it and the file give a value.
+    """Load the configuration; a value from the environment takes precedence over one from the file.
 
-    ConfigurationError names the first field that is missing or wrong.
+    Raises ConfigurationError, which names the first field that is missing or not valid.
     """
     document = _read_file(environment)
     limits = _object_field(document, "limits")
@@ -97,10 +99,10 @@
 
 
 def load_discovery_address(environment: Mapping[str, str]) -> Address:
-    """Read the discovery service's address from the file alone.
+    """Load the address of the discovery service from the file only.
 
-    LB_DISCOVERY is ignored: once the file was replaced, the environment has the older value.
-    ConfigurationError names what is missing or wrong.
+    LB_DISCOVERY is ignored: after the file was replaced, the environment still has the older value.
+    Raises ConfigurationError, which names the field that is missing or not valid.
     """
     return parse_address(_read_file(environment).get("discovery"), "discovery")
 
@@ -108,29 +110,31 @@
 def _read_file(environment: Mapping[str, str]) -> dict[str, Any]:
     path = environment.get("LB_CONFIG")
     if not path:
-        raise ConfigurationError("LB_CONFIG: is not set")
+        raise ConfigurationError("LB_CONFIG: not set, expected the path of the configuration file")
     try:
         document = json.loads(Path(path).read_bytes())
     except OSError as error:
-        raise ConfigurationError(f"LB_CONFIG: cannot be read: {error.strerror}") from None
+        raise ConfigurationError(f"LB_CONFIG: cannot read {path!r:.200}: {error.strerror}") from None
     except ValueError as error:
-        raise ConfigurationError(f"LB_CONFIG: is not JSON: {error}") from None
+        raise ConfigurationError(f"LB_CONFIG: {path!r:.200} is not valid JSON: {error}") from None
     if not isinstance(document, dict):
-        raise ConfigurationError("LB_CONFIG: must hold a JSON object")
+        raise ConfigurationError(
+            f"LB_CONFIG: expected a JSON object in {path!r:.200}, got {type(document).__name__}"
+        )
     return document
 
 
 def _object_field(document: dict[str, Any], field: str) -> dict[str, Any]:
     value = document.get(field, {})
     if not isinstance(value, dict):
-        raise ConfigurationError(f"{field}: must be a JSON object")
+        raise ConfigurationError(f"{field}: expected a JSON object, got {value!r:.200}")
     return value
 
 
 def _state_directory(environment: Mapping[str, str]) -> Path:
     text = environment.get("LB_STATE")
     if not text or not Path(text).is_dir():
-        raise ConfigurationError(f"LB_STATE: must be a folder, not {text!r}")
+        raise ConfigurationError(f"LB_STATE: expected the path of a directory, got {text!r:.200}")
     return Path(text)
 
 
@@ -138,26 +142,28 @@
     try:
         return int(value, 16) if isinstance(value, str) else int(value)
     except (TypeError, ValueError):
-        raise ConfigurationError(f"seed: must be a number or hex digits, not {value!r}") from None
+        raise ConfigurationError(f"seed: expected a number or hex digits, got {value!r:.200}") from None
 
 
 def _positive_limit(limits: dict[str, Any], field: str, default: float) -> float:
     value = limits.get(field, default)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or value <= 0:
-        raise ConfigurationError(f"limits.{field}: must be a number above 0, not {value!r}")
+        raise ConfigurationError(f"limits.{field}: expected a number above 0, got {value!r:.200}")
     return value
 
 
 def _cached_list(cached: dict[str, Any]) -> CachedEndpointList:
     revision, targets = cached.get("rev", 0), cached.get("targets", [])
     if not isinstance(revision, int) or not isinstance(targets, list):
-        raise ConfigurationError("known: must hold a whole number rev and a list targets")
+        raise ConfigurationError(
+            f"known: expected an integer rev and a list targets, got {revision!r:.80} and {targets!r:.80}"
+        )
     return CachedEndpointList(revision, targets)
 
 
 def _settings(document: dict[str, Any]) -> Settings:
     if not document:
-        raise ConfigurationError("settings: lacks")
+        raise ConfigurationError("settings: missing or empty, expected a JSON object")
     try:
         return settings_json.read_settings(json.dumps(document))
     except ValueError as error:
@@ -165,18 +171,20 @@
 
 
 def _listen_fd(text: str) -> int:
-    """The descriptor of a listening TCP socket that the platform has opened, -1 for an empty text."""
+    """Return the descriptor of a listening TCP socket that the platform has opened, -1 for an empty text."""
     if not text:
         return -1
     try:
         descriptor = int(text)
-        # A duplicate is checked, since closing the socket object closes its descriptor.
+        # The check uses a duplicate because closing the socket object closes its descriptor.
         with socket.socket(fileno=os.dup(descriptor)) as duplicate:
             listening = _is_listening_tcp_socket(duplicate)
     except (ValueError, OSError):
         listening = False
     if not listening:
-        raise ConfigurationError(f"LB_FD: must be the descriptor of a listening TCP socket, not {text!r}")
+        raise ConfigurationError(
+            f"LB_FD: expected the descriptor of a listening TCP socket, got {text!r:.200}"
+        )
     return descriptor
 
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Loading the configuration: what is missing or malformed is named."""
+"""Loading the configuration reports the name of a field that is missing or malformed."""
 
 import asyncio
 
