--- a/message_relay/server/metrics.py
+++ b/message_relay/server/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics that operators read: counted where each event happens, from the start of the process on."""
+"""Metrics for operators; each event is counted where it happens, from the start of the process."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Gauges(NamedTuple):
-    """Figures that are true at the moment of reading."""
+    """Current values that are read when the metrics are rendered."""
 
     open_messages: int
     endpoints_listed: int
@@ -23,7 +23,7 @@
 
 
 class Metrics:
-    """The counters of one process; messages are counted by the index of their class."""
+    """Counters of one process; those of messages are indexed by message class."""
 
     def __init__(self, class_names: Sequence[str]) -> None:
         self.class_names = class_names
@@ -35,30 +35,30 @@
         self.reloads_failed = 0
 
     def record_delivered(self, message_class: int) -> None:
-        """Count a message that an endpoint has accepted."""
+        """Count a message that an endpoint accepted."""
         self.delivered[message_class] += 1
 
     def record_rejected(self, message_class: int) -> None:
-        """Count a message that was rejected, or that ended with leave to be submitted again."""
+        """Count a message that was rejected, at submission or with the final answer `deferred`."""
         self.rejected[message_class] += 1
 
     def record_failed(self, message_class: int) -> None:
-        """Count a message that ended undelivered."""
+        """Count a message that ended undelivered without being rejected."""
         self.failed[message_class] += 1
 
     def record_attempts_written(self, count: int) -> None:
-        """Count a call with `count` messages, once its last byte was written."""
+        """Count the `count` attempts of a call whose last byte was written."""
         self.attempts_written += count
 
     def record_reload(self, succeeded: bool) -> None:
-        """Count a reload of the configuration."""
+        """Count a reload of the configuration as succeeded or failed."""
         if succeeded:
             self.reloads_succeeded += 1
         else:
             self.reloads_failed += 1
 
     def render(self, gauges: Gauges) -> str:
-        """Return the metrics as text, one a line."""
+        """Return the metrics as text, one per line."""
         lines = [
             *self._render_by_class("success", self.delivered),
             *self._render_by_class("busy", self.rejected),
--- a/message_relay/server/reload.py
+++ b/message_relay/server/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: read the configuration file again while the relay works."""
+"""Reload of the configuration file on SIGHUP, without a restart of the process."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 
 
 class ConfigurationReloader:
-    """Reads the configuration file on each SIGHUP, and again with growing waits while it cannot be used.
+    """Reads the configuration file on each SIGHUP and retries with backoff until the file is valid.
 
-    The file may be half written when the signal comes. Until it can be used, the current configuration stays
-    in force. `on_discovery_moved` is called with the address in the file after each successful read, also if
-    it is the current one; `on_reloaded` with whether the configuration took effect, False at most once for
-    each signal.
+    The file may be partially written when the signal arrives. The current configuration stays in force until
+    the file is valid. After each successful read, `on_discovery_address` is called with the address of the
+    discovery service in the file, even if it has not changed. `on_reload_result` is called with True if the
+    configuration took effect and with False if the file is not valid, the latter at most once per signal.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         environment: Mapping[str, str],
-        on_discovery_moved: Callable[[Address], None],
-        on_reloaded: Callable[[bool], None],
+        on_discovery_address: Callable[[Address], None],
+        on_reload_result: Callable[[bool], None],
     ) -> None:
         self._loop = loop
         self._environment = environment
-        self._on_discovery_moved = on_discovery_moved
-        self._on_reloaded = on_reloaded
+        self._on_discovery_address = on_discovery_address
+        self._on_reload_result = on_reload_result
         self._failure_reported = False
         self._backoff = ReconnectBackoff()
         self._timer: asyncio.TimerHandle | None = None
 
     def reload(self) -> None:
-        """Read the file now: the action on SIGHUP."""
+        """Read the file now; called on SIGHUP."""
         self._backoff.reset()
         self._failure_reported = False
         self._read()
 
     def stop(self) -> None:
-        """Give up the next read of a file that could not be used."""
+        """Cancel the pending retry, if there is one."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -57,11 +57,11 @@
             self._report_failure()
             self._timer = self._loop.call_later(self._backoff.next_wait_s(), self._read)
             return
-        self._on_reloaded(True)
-        self._on_discovery_moved(address)
+        self._on_reload_result(True)
+        self._on_discovery_address(address)
 
     def _report_failure(self) -> None:
-        """Report the first failure since the signal, not that of each new read."""
+        """Report a failed reload, unless one was reported since the last signal."""
         if not self._failure_reported:
             self._failure_reported = True
-            self._on_reloaded(False)
+            self._on_reload_result(False)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the relay reads its configuration file again and moves to the discovery address in it."""
+"""On SIGHUP the relay reads its configuration file again and connects to the discovery address in it."""
 
 import asyncio
 import json
@@ -17,8 +17,8 @@
 
 
 @with_fleet
-async def test_sighup_moves_the_watch_and_the_notices(fleet):
-    # Unhandled, SIGHUP ends the process.
+async def test_sighup_moves_the_watch_and_the_notices_to_the_new_address(fleet):
+    # Without a handler, SIGHUP would end the process.
     endpoint = await fleet.endpoint("a", answer(200), answer(500))
     client = await fleet.start_process()
     assert (await bounded(fleet.discovery.watches.get())).endswith("from=1")
@@ -26,15 +26,15 @@
     new_discovery.rev, new_discovery.targets = 2, dict(fleet.discovery.targets)
     new_discovery.target("b", endpoint.port, 8)
     (fleet.folder / "config.json").rename(fleet.folder / "old.json")
-    # The file is missing, then half written: the old configuration stays.
+    # The file is missing, then partially written: the old configuration stays in force.
     fleet.process.send_signal(signal.SIGHUP)
-    (fleet.folder / "half.json").write_text((fleet.folder / "old.json").read_text()[:50])
-    (fleet.folder / "half.json").rename(fleet.folder / "config.json")
+    (fleet.folder / "partial.json").write_text((fleet.folder / "old.json").read_text()[:50])
+    (fleet.folder / "partial.json").rename(fleet.folder / "config.json")
     fleet.process.send_signal(signal.SIGHUP)
     assert await client.put("m1") == "+OK"
     assert (await endpoint.call())[1]["x-request-id"] == "m1" and new_discovery.watches.empty()
     (fleet.folder / "old.json").rename(fleet.folder / "config.json")
-    set_discovery_port(fleet, new_discovery.port)  # found by the relay's own retry: no further signal comes
+    set_discovery_port(fleet, new_discovery.port)  # read by the relay's retry, without another signal
     assert (await bounded(new_discovery.watches.get())).endswith("from=1")
     assert await client.put("u1", kind="unsafe") == "+OK"
     assert await new_discovery.final() == {"id": "u1", "status": "undeliverable"}
