--- a/message_relay/model/__init__.py
+++ b/message_relay/model/__init__.py
@@ -1,4 +1,8 @@
-"""The types between the policy and its server: settings, events, actions."""
+"""Vocabulary shared by the delivery policy and the process that hosts it.
+
+The host is the relay server, or the simulator adapter. It passes events to the policy and carries out the
+actions that the policy returns. Settings are fixed for the lifetime of a policy.
+"""
 
 from message_relay.model.actions import (
     Action,
--- a/message_relay/model/settings.py
+++ b/message_relay/model/settings.py
@@ -1,7 +1,9 @@
 """Settings of one relay instance: message classes, destination types, tenants, limits.
 
-Times ending in ``_us`` are microseconds, rates ending in ``_per_s`` are a second. A value out of its range
-raises ``ValueError`` with the name of the field and what is allowed.
+Fields ending in ``_us`` are microseconds, fields ending in ``_per_s`` are rates per second. A constructor
+raises ValueError with the name of the field, the expected range and the value if a value is out of range.
+
+A field that is said to be unused is accepted from the configuration, but does not affect DeliveryPolicy.
 """
 
 from __future__ import annotations
@@ -11,111 +13,164 @@
 from message_relay.model.enums import Idempotency, KeyScope
 
 
-def _require(condition: bool, field: str, allowed: str) -> None:
+def _require(condition: bool, field: str, expected: str, value: object) -> None:
     if not condition:
-        raise ValueError(f"{field}: must be {allowed}")
+        raise ValueError(f"{field}: must be {expected}, not {value!r:.100}")
 
 
-def _require_times(owner: MessageClass | Settings, prefix: str) -> None:
-    for field in fields(owner):
+def _require_non_negative_times(settings: MessageClass | Settings, prefix: str) -> None:
+    for field in fields(settings):
         if field.name.endswith("_us"):
-            _require(getattr(owner, field.name) >= 0, f"{prefix}{field.name}", "0 or more microseconds")
+            _require(
+                getattr(settings, field.name) >= 0,
+                f"{prefix}{field.name}",
+                "0 or more microseconds",
+                getattr(settings, field.name),
+            )
 
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """What the messages of one class are worth, and how often one may be delivered."""
+    """Delivery requirements that the messages of one class share.
+
+    The policy sends the messages first whose weight falls most while they wait. A message has its full weight
+    until its latency objective, less until its deadline (see Settings.late_weight_decays_exponentially), and
+    none after that.
+    """
 
     name: str
-    latency_objective_us: int  # delivered within this time, a message has its full weight
-    deadline_us: int  # and within this time, a part of it
-    idempotency: Idempotency = Idempotency.IDEMPOTENT
-    priority_weight: float = 1.0
-    late_weight_share: float = 0.0  # share of the weight that is left at the deadline
-    key_scope: KeyScope = KeyScope.ALL  # of a KEYED class
-    key_window_us: int = 0  # of a KEYED class: how long the endpoints remember a key
-    ordered: bool = False  # messages with the same order key are delivered one at a time
+    latency_objective_us: int  # time from submission to delivery that a message should not exceed
+    deadline_us: int  # time from submission until the message must have its final answer
+    idempotency: Idempotency = Idempotency.IDEMPOTENT  # whether an attempt may be repeated
+    priority_weight: float = 1.0  # full weight of a message, relative to the other classes
+    late_weight_share: float = (
+        0.0  # share of the full weight that a message still has at its deadline, 0 to 1
+    )
+    key_scope: KeyScope = KeyScope.ALL  # KEYED only: endpoints that recognize an idempotency key
+    key_window_us: int = 0  # KEYED only: time for which endpoints recognize a key after its first delivery
+    ordered: bool = False  # deliver messages with the same order key one at a time, in order of submission
 
     def __post_init__(self) -> None:
         prefix = f"classes.{self.name}."
-        _require_times(self, prefix)
-        _require(self.latency_objective_us > 0, prefix + "latency_objective_us", "above 0")
+        _require_non_negative_times(self, prefix)
+        _require(
+            self.latency_objective_us > 0,
+            prefix + "latency_objective_us",
+            "above 0",
+            self.latency_objective_us,
+        )
         _require(
             self.deadline_us >= self.latency_objective_us,
             prefix + "deadline_us",
             "at least latency_objective_us",
+            self.deadline_us,
+        )
+        _require(
+            isinstance(self.idempotency, Idempotency),
+            prefix + "idempotency",
+            "an Idempotency",
+            self.idempotency,
+        )
+        _require(self.priority_weight >= 0, prefix + "priority_weight", "0 or more", self.priority_weight)
+        _require(
+            0 <= self.late_weight_share <= 1,
+            prefix + "late_weight_share",
+            "from 0 to 1",
+            self.late_weight_share,
+        )
+        _require(
+            isinstance(self.key_scope, KeyScope), prefix + "key_scope", "all, zone or cell", self.key_scope
         )
-        _require(isinstance(self.idempotency, Idempotency), prefix + "idempotency", "an Idempotency")
-        _require(self.priority_weight >= 0, prefix + "priority_weight", "0 or more")
-        _require(0 <= self.late_weight_share <= 1, prefix + "late_weight_share", "from 0 to 1")
-        _require(isinstance(self.key_scope, KeyScope), prefix + "key_scope", "all, zone or cell")
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer; its traffic within the quota counts in full."""
+    """A customer with a quota. Messages over the quota are accepted, but with a lower weight."""
 
     name: str
-    share: float  # of what the fleet can deliver
-    quota_per_s: float  # messages of all instances together
+    share: float  # share of the capacity of the fleet, 0 to 1; unused
+    quota_per_s: float  # messages per second, at all instances together; each grants an equal part of it
 
     def __post_init__(self) -> None:
-        _require(0 <= self.share <= 1, f"tenants.{self.name}.share", "from 0 to 1")
-        _require(self.quota_per_s >= 0, f"tenants.{self.name}.quota_per_s", "0 or more")
+        _require(0 <= self.share <= 1, f"tenants.{self.name}.share", "from 0 to 1", self.share)
+        _require(self.quota_per_s >= 0, f"tenants.{self.name}.quota_per_s", "0 or more", self.quota_per_s)
 
 
 @dataclass(frozen=True, slots=True)
 class DestinationType:
-    """What destinations of one type have in common."""
+    """Properties that the destinations of one type share."""
 
     name: str
-    independent_endpoints: bool = False  # each endpoint has a rate limit, Retry-After and outages of its own
-    max_batch_size: int = 1  # messages of one tick to one endpoint that may travel as one call
+    # Each endpoint has a separate rate limit, Retry-After and outages: it is an endpoint group by itself.
+    # False: all endpoints of a destination form one group.
+    independent_endpoints: bool = False
+    max_batch_size: int = 1  # upper bound of messages in one call to an endpoint; 1: no batches
 
     def __post_init__(self) -> None:
-        _require(self.max_batch_size >= 1, f"destination_types.{self.name}.max_batch_size", "1 or more")
+        _require(
+            self.max_batch_size >= 1,
+            f"destination_types.{self.name}.max_batch_size",
+            "1 or more",
+            self.max_batch_size,
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of one instance."""
+    """Settings of one instance."""
 
-    classes: tuple[MessageClass, ...]
-    call_slots: int  # calls that may be in flight at once
-    max_open_messages: int  # messages that may be open at once, sent or not
+    classes: tuple[MessageClass, ...]  # MessageSubmitted.message_class is an index in it
+    call_slots: int  # upper bound of calls in flight, over all destinations
+    max_open_messages: int  # upper bound of messages without a final answer, waiting or in flight
+    # EndpointEntry.type_index is an index in it.
     destination_types: tuple[DestinationType, ...] = (DestinationType("any"),)
-    tenants: tuple[Tenant, ...] = ()
-    instance_count: int = 1  # instances that share the traffic
-    instance_index: int = 0
-    max_attempts: int = 3
-    hedging_allowed: bool = False  # two attempts of one message may be in flight at once
-    health_checks_allowed: bool = False
-    cancellation_allowed: bool = False
-    gossip_allowed: bool = False
-    tick_interval_us: int = 1000  # least time between two ticks
-    max_retry_after_us: int = 0  # longest Retry-After that clients heed; 0: they get none
-    clients_mark_retries: bool = False  # MessageSubmitted.resubmitted is filled in
-    connection_idle_timeout_us: int = 10_000_000  # endpoints close a connection that was idle for so long
-    connect_timeout_us: int = 1_000_000
-    drain_grace_us: int = 0  # an endpoint accepts calls for so long after it began to drain
+    tenants: tuple[Tenant, ...] = ()  # MessageSubmitted.tenant is an index in it
+    instance_count: int = 1  # number of instances among which the traffic is distributed
+    instance_index: int = 0  # number of this instance, from 0; unused
+    max_attempts: int = 3  # upper bound of attempts of a message, the first included
+    hedging_allowed: bool = False  # two attempts of a message may be in flight at once; unused
+    health_checks_allowed: bool = False  # CheckEndpointHealth may be used; unused
+    cancellation_allowed: bool = False  # CancelAttempt may be used; unused
+    gossip_allowed: bool = False  # SendGossip may be used; unused
+    tick_interval_us: int = 1000  # minimum time between two ticks
+    max_retry_after_us: int = 0  # longest Retry-After that clients honor; 0: no Retry-After is given to them
+    clients_mark_retries: bool = False  # clients mark resubmissions: MessageSubmitted.resubmitted is reported
+    connection_idle_timeout_us: int = 10_000_000  # idle time after which endpoints close a connection
+    connect_timeout_us: int = 1_000_000  # time-out for establishing a connection, and for a health check
+    drain_grace_us: int = 0  # time for which an endpoint still accepts calls once it is draining; unused
     slow_start_share: float = 0.1  # share of its capacity that a recovering destination has at first
-    slow_start_us: int = 10_000_000  # after this time it has all of it
-    overload_factor: float = 2.0  # more than this multiple of its present capacity,
-    overload_window_us: int = 1_000_000  # for this long, takes a recovering destination down again
-    order_key_pause_us: int = 0  # between an ambiguous failure and the next message of an order key
-    answer_slack_us: int = 0
-    endpoint_list_requires_subscription: bool = False  # the list comes only to those that subscribe to it
-    rate_limits_advertised: bool = False  # EndpointEntry.rate_limit_per_s means something
-    load_report_fields: tuple[str, ...] = ()  # names of LoadReportReceived.values, in order
-    over_quota_weight: float = 1.0  # multiplies the weight of traffic over a tenant's quota
-    late_weight_decays_exponentially: bool = False  # it halves with each further objective, not evenly
+    slow_start_us: int = 10_000_000  # time until it has its full capacity
+    # A recovering destination fails again if it gets more than overload_factor times its present capacity for
+    # overload_window_us.
+    overload_factor: float = 2.0
+    overload_window_us: int = 1_000_000
+    # After an ambiguous failure, time before another message with the same order key is first attempted.
+    order_key_pause_us: int = 0
+    answer_slack_us: int = 0  # unused
+    # The host receives the endpoint list only while it has a subscription (SubscribeEndpointList).
+    endpoint_list_requires_subscription: bool = False
+    rate_limits_advertised: bool = False  # EndpointEntry.rate_limit_per_s is a limit; False: it is ignored
+    load_report_fields: tuple[str, ...] = ()  # names of LoadReportReceived.values, in the same order
+    over_quota_weight: float = 1.0  # multiplies the weight of messages over a tenant's quota, 0 to 1
+    # Weight of a message after its latency objective. True: it halves per further objective, down to
+    # late_weight_share. False: it falls linearly to late_weight_share at the deadline.
+    late_weight_decays_exponentially: bool = False
+    # Relative cost of a call to an endpoint of each zone, by zone index; 0 for zones beyond the last. Among
+    # otherwise equal endpoints the policy prefers the cheaper one.
     zone_costs: tuple[float, ...] = ()
-    rejected_call_cost: float = 0.0  # of a call over a limit, as a share of a message's weight
+    # Cost of a call that is rejected over a rate limit, as a share of a message's weight. If it is not 0,
+    # token buckets allow shorter bursts.
+    rejected_call_cost: float = 0.0
 
     def __post_init__(self) -> None:
-        _require_times(self, "")
-        _require(len(self.classes) > 0, "classes", "at least one class")
-        _require(len(self.destination_types) > 0, "destination_types", "at least one destination type")
+        _require_non_negative_times(self, "")
+        _require(len(self.classes) > 0, "classes", "at least one class", self.classes)
+        _require(
+            len(self.destination_types) > 0,
+            "destination_types",
+            "at least one destination type",
+            self.destination_types,
+        )
         at_least_one = (
             "call_slots",
             "max_open_messages",
@@ -124,9 +179,13 @@
             "tick_interval_us",
         )
         for name in at_least_one:
-            _require(getattr(self, name) >= 1, name, "1 or more")
-        index_known = 0 <= self.instance_index < self.instance_count
-        _require(index_known, "instance_index", "from 0 to under instance_count")
-        _require(0 < self.slow_start_share <= 1, "slow_start_share", "above 0 and at most 1")
-        _require(self.overload_factor > 0, "overload_factor", "above 0")
-        _require(0 <= self.over_quota_weight <= 1, "over_quota_weight", "from 0 to 1")
+            _require(getattr(self, name) >= 1, name, "1 or more", getattr(self, name))
+        index_valid = 0 <= self.instance_index < self.instance_count
+        _require(
+            index_valid, "instance_index", "at least 0 and less than instance_count", self.instance_index
+        )
+        _require(
+            0 < self.slow_start_share <= 1, "slow_start_share", "above 0 and at most 1", self.slow_start_share
+        )
+        _require(self.overload_factor > 0, "overload_factor", "above 0", self.overload_factor)
+        _require(0 <= self.over_quota_weight <= 1, "over_quota_weight", "from 0 to 1", self.over_quota_weight)
