--- a/message_relay/policy_state/__init__.py
+++ b/message_relay/policy_state/__init__.py
@@ -1,4 +1,4 @@
-"""The state that the policy decides on: data and no decisions."""
+"""State of a delivery policy. The rules that read and change it are in ``message_relay.policy``."""
 
 from message_relay.policy_state.entities import (
     Call,
--- a/message_relay/policy_state/state.py
+++ b/message_relay/policy_state/state.py
@@ -1,4 +1,4 @@
-"""The state of one policy, and the bookkeeping that keeps it consistent. No decisions."""
+"""State of one policy, with the operations that keep its parts consistent."""
 
 from __future__ import annotations
 
@@ -23,17 +23,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds that the policy derives from the settings."""
+    """Bounds that the policy derives from the settings (``policy.limits.derive_limits``)."""
 
-    large_fleet: bool  # so many small instances that one's own calls say little
-    max_attempts: int  # of one message, the first included
-    max_calls_per_destination: int  # in flight at once
-    deadline_margin_us: int  # kept free before a deadline
-    min_lost_call_rate: float  # least share of calls taken as lost
+    # There are many instances with few slots each: the calls of one instance are too few to estimate the
+    # state of a destination from them alone. Several rules of the policy differ for this case.
+    large_fleet: bool
+    max_attempts: int  # upper bound of attempts of a message, the first included
+    max_calls_per_destination: int  # upper bound of calls in flight to one destination
+    deadline_margin_us: int  # time before a deadline in which no attempt starts
+    min_lost_call_rate: float  # lower bound of CallStatistics.lost_call_rate
 
 
 class PolicyState:
-    """Everything that one policy knows; its mechanisms share it."""
+    """State of one policy, shared by all modules of ``message_relay.policy``."""
 
     def __init__(self, settings: Settings, seed: int, limits: Limits) -> None:
         self.settings = settings
@@ -44,23 +46,24 @@
         self.max_calls_per_destination = limits.max_calls_per_destination
         self.deadline_margin_us = limits.deadline_margin_us
         self.min_lost_call_rate = limits.min_lost_call_rate
-        self.now_us = 0
-        self.started_at_us = -1
-        self.shutdown_at_us: float = math.inf  # no call may last beyond it
-        self.actions: list[Action] = []  # of this tick
+        self.now_us = 0  # time of the current tick
+        self.started_at_us = -1  # time of the first tick, -1 before it
+        self.shutdown_at_us: float = math.inf  # no call may last beyond this time
+        self.actions: list[Action] = []  # actions of the current tick
         self.destinations: dict[int, Destination] = {}
         self.endpoints: dict[int, Endpoint] = {}
         self.messages: dict[int, Message] = {}
         self.calls: dict[tuple[int, int], tuple[Call, Message]] = {}  # by message and attempt
+        # Calls in flight, and the sequence number of the message submitted last.
         self.in_flight = self.sequence = 0
-        self.expiries: list[tuple[float, int]] = []
-        self.timers: list[int] = []
-        self.order_queues: dict[int, list[Message]] = {}  # by order key
-        self.order_pauses: dict[int, int] = {}
-        shares = [tenant.quota_per_s / settings.instance_count for tenant in settings.tenants]
-        self.quotas = [TenantQuota(rate, TokenBucket()) for rate in shares]
-        self.capacity_full = False
-        self.rejections_since_resubmission = 0
+        self.expiries: list[tuple[float, int]] = []  # heap of (time, message): when to check for expiry
+        self.timers: list[int] = []  # heap of the times of scheduled ticks
+        self.order_queues: dict[int, list[Message]] = {}  # by order key, in order of submission
+        self.order_pauses: dict[int, int] = {}  # by order key: no first attempt before this time
+        quota_rates_per_s = [tenant.quota_per_s / settings.instance_count for tenant in settings.tenants]
+        self.quotas = [TenantQuota(rate_per_s, TokenBucket()) for rate_per_s in quota_rates_per_s]
+        self.capacity_full = False  # the log last reported that the limit of open messages is reached
+        self.rejections_since_resubmission = 0  # rejections since a client last resubmitted a message
         self.statistics = CallStatistics(
             settings.connection_idle_timeout_us,
             [0.0] * len(settings.destination_types),
@@ -68,42 +71,49 @@
         )
 
     def log(self, text: str) -> None:
-        """Have the server log a line."""
+        """Add an action that writes a line to the operators' log."""
         self.actions.append(LogMessage(text))
 
     def schedule_tick(self, at_us: float) -> None:
-        """Schedule a tick at that time, if none is due before."""
-        at = max(int(at_us), self.now_us + self.tick_interval_us)
-        if not self.timers or at < self.timers[0]:
-            heapq.heappush(self.timers, at)
-            self.actions.append(SetTimer(at - self.now_us, 0))
+        """Schedule a tick at that time, but at least one tick interval from now.
+
+        If another tick is due by then, nothing is scheduled: that tick schedules the next one if needed.
+        """
+        tick_at_us = max(int(at_us), self.now_us + self.tick_interval_us)
+        if not self.timers or tick_at_us < self.timers[0]:
+            heapq.heappush(self.timers, tick_at_us)
+            self.actions.append(SetTimer(tick_at_us - self.now_us, 0))
 
     def destination(self, number: int) -> Destination:
-        """The destination of that number, new if nothing was known of it."""
+        """Return the destination of that number; create it if it does not exist."""
         destination = self.destinations.get(number)
         if destination is None:
             destination = self.destinations[number] = Destination(number)
         return destination
 
     def schedule_expiry(self, at_us: float, message: Message) -> None:
-        """Look at the message again at that time."""
+        """Check at that time whether the message has expired (``policy.final_answer.expire``)."""
         heapq.heappush(self.expiries, (at_us, message.id))
 
     def count_in_flight(self, call: Call, change: int) -> None:
-        """One call more or less is in flight."""
+        """Add ``change`` (1 or -1) to the numbers of calls in flight that include the call."""
         group = call.endpoint.group
         self.in_flight += change
         group.in_flight += change
         group.destination.in_flight += change
 
     def add_group(self, destination: Destination) -> EndpointGroup:
-        """A new endpoint group of a destination."""
+        """Add an empty endpoint group to a destination, and return it."""
         group = EndpointGroup(destination, CircuitBreaker() if self.large_fleet else None)
         destination.groups.append(group)
         return group
 
     def add_endpoint(self, entry: EndpointEntry) -> Endpoint:
-        """A new endpoint, in the group that its destination's type says."""
+        """Add the endpoint of a list entry, and return it.
+
+        It gets a new group if it is the first endpoint of its destination or if the endpoints of the
+        destination's type are independent.
+        """
         destination = self.destination(entry.destination)
         destination.type_index = min(entry.type_index, len(self.settings.destination_types) - 1)
         if (
@@ -118,7 +128,10 @@
         return endpoint
 
     def remove_if_unused(self, endpoint: Endpoint) -> None:
-        """Drop an endpoint that was removed, once no call is in flight there: replacements would pile up."""
+        """Delete an endpoint that was removed from the list, once no call to it is in flight.
+
+        Otherwise endpoints that have been replaced would accumulate.
+        """
         if endpoint.state is not EndpointState.REMOVED or endpoint.in_flight:
             return
         group, groups = endpoint.group, endpoint.group.destination.groups
@@ -129,14 +142,14 @@
             groups.remove(group)
 
     def add_message(self, message: Message) -> None:
-        """A message is open and waits."""
+        """Add an open message, and queue it for its destination."""
         self.messages[message.id] = message
         message.destination.queue.append(message)
         if message.order_key:
             self.order_queues.setdefault(message.order_key, []).append(message)
 
     def start_attempt(self, message: Message, call: Call) -> None:
-        """The message's next attempt is part of that call."""
+        """Record that the next attempt of the message is part of the call."""
         message.destination.queue.remove(message)
         self.calls[(message.id, message.attempts)] = (call, message)
         call.open_attempts += 1
@@ -145,7 +158,7 @@
         message.last_endpoint = call.endpoint
 
     def close_message(self, message: Message) -> None:
-        """Nothing more is owed for the message; it is forgotten with its last attempt."""
+        """Close a message that needs no further attempt; delete it once none of its attempts is in flight."""
         if not message.closed:
             message.closed = True
             if message in message.destination.queue:
