--- a/message_relay/simulator_adapter/__init__.py
+++ b/message_relay/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the frames of the simulator."""
+"""Runs delivery policies for the simulator, which sends events and receives actions as binary frames."""
--- a/message_relay/simulator_adapter/__main__.py
+++ b/message_relay/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m message_relay.simulator_adapter`: the decisions, on standard input and output."""
+"""``python -m message_relay.simulator_adapter``: requests on standard input, replies on standard output."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def main() -> int:
-    """Serve until the input ends; exit status 2 and one line on standard error for malformed input."""
+    """Answer requests until the input ends, and return the exit status.
+
+    For malformed input the status is 2, and one line on standard error states the reason.
+    """
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except ValueError as error:
--- a/message_relay/simulator_adapter/frames.py
+++ b/message_relay/simulator_adapter/frames.py
@@ -1,4 +1,10 @@
-"""The simulator's binary frames, to and from the events and actions of the model. No decisions here."""
+"""Binary frames of the simulator: request frames are decoded to events, actions are encoded to reply frames.
+
+A frame is a header followed by a body. The body consists of records of fixed size, then of a tail with data
+of variable size, which records refer to by offset and size. One request frame carries the events of one tick
+of several instances; the reply frame with the same sequence number carries their actions. Integers and floats
+are big-endian.
+"""
 
 from __future__ import annotations
 
@@ -12,13 +18,16 @@
 from message_relay.model import AttemptResult, EndpointEntry, EndpointListForm, EndpointState, Settings
 from message_relay.simulator_adapter.settings_json import read_settings
 
-BATCH_HEADER = struct.Struct(">IIQI")
-REPLY_HEADER = struct.Struct(">III")
-EVENT_SIZE, ACTION_SIZE, ENTRY_SIZE = 40, 16, 24  # bytes
-ALL_PEERS = 0xFFFFFFFF
+REQUEST_HEADER = struct.Struct(">IIQI")  # the fields of RequestHeader, in their order
+REPLY_HEADER = struct.Struct(">III")  # sequence number, number of records, body size in bytes
+EVENT_SIZE_BYTES = 40  # a record of a request frame
+ACTION_SIZE_BYTES = 16  # a record of a reply frame
+ENTRY_SIZE_BYTES = 24  # an entry of an endpoint list
+ALL_PEERS = 0xFFFFFFFF  # receiver of gossip that is sent to all other instances
 MAX_U32 = 0xFFFFFFFF
-ORDER_FLAG_RESUBMITTED = 2
+MESSAGE_FLAG_RESUBMITTED = 2  # bit in the flags of a MESSAGE_SUBMITTED record
 
+# Codes of an attempt's or a health check's result.
 RESULTS = {
     200: AttemptResult.OK,
     408: AttemptResult.TIMEOUT,
@@ -29,6 +38,7 @@
     520: AttemptResult.RESET,
     521: AttemptResult.CONNECT_FAILED,
 }
+# Codes from 0, in this order.
 LIST_FORMS = dict(
     enumerate(
         (EndpointListForm.DELTA, EndpointListForm.COMPLETE, EndpointListForm.CACHED, EndpointListForm.FAILED)
@@ -36,44 +46,48 @@
 )
 ENDPOINT_STATES = dict(enumerate((EndpointState.REMOVED, EndpointState.READY, EndpointState.DRAINING)))
 
-_ARRIVAL = struct.Struct(">xIBIQQIfH")
-_HEALTH = struct.Struct(">xIHIHB4f")
-_DISCOVERY = struct.Struct(">xBQB")
-_REGISTER = struct.Struct(">xBII")
-_BEGIN = struct.Struct(">xQII")
-_ANSWER = struct.Struct(">xIBIHHIBIB4f")
-_PEER = struct.Struct(">xIII")
-_OPENED = struct.Struct(">xIIHBI")
-_ENTRY = struct.Struct(">IHHBfQBH")
-_U16, _U32, _U64 = struct.Struct(">xH"), struct.Struct(">xI"), struct.Struct(">xQ")
-
-EndpointLists = dict[int, tuple[EndpointEntry, ...]]  # numbered lists, kept across batches
+# Layouts of the event records; "x" skips the first byte, which holds the code.
+_MESSAGE_SUBMITTED = struct.Struct(">xIBIQQIfH")
+_HEALTH_CHECK_ENDED = struct.Struct(">xIHIHB4f")
+_ENDPOINT_LIST = struct.Struct(">xBQB")
+_REGISTER_LIST = struct.Struct(">xBII")
+_INSTANCE_STARTED = struct.Struct(">xQII")
+_ATTEMPT_ENDED = struct.Struct(">xIBIHHIBIB4f")
+_GOSSIP = struct.Struct(">xIII")
+_RESPONSE_STARTED = struct.Struct(">xIIHBI")
+_ENTRY = struct.Struct(">IHHBfQBH")  # no record: an entry of an endpoint list, in the tail
+_INSTANCE_NUMBER = struct.Struct(">xH")
+_MESSAGE_NUMBER = struct.Struct(">xI")
+_TIMER_TOKEN = struct.Struct(">xQ")
+
+# Endpoint lists by the number under which a request registered them; later requests may refer to them.
+EndpointLists = dict[int, tuple[EndpointEntry, ...]]
 Code = TypeVar("Code")
 
 
 class MalformedFrameError(ValueError):
-    """A frame that does not follow the wire's description."""
+    """The input is not a valid sequence of request frames."""
 
 
 class EventCode(IntEnum):
-    """The first byte of an event record."""
+    """First byte of an event record."""
 
-    INSTANCE = 1
-    MESSAGE = 2
+    INSTANCE = 1  # no event: the records that follow belong to the instance of this number
+    MESSAGE_SUBMITTED = 2
     HEALTH_CHECK = 3
     TIMER = 4
     ENDPOINT_LIST = 5
-    REGISTER_LIST = 6
-    BEGIN = 7
+    REGISTER_LIST = 6  # no event: registers an endpoint list, which ENDPOINT_LIST records refer to
+    INSTANCE_STARTED = 7
     ATTEMPT_ENDED = 8
-    SHUTDOWN = 9
-    WITHDRAWN = 10
+    INSTANCE_STOPPED = 9
+    MESSAGE_WITHDRAWN = 10
     GOSSIP = 11
     RESPONSE_STARTED = 12
 
 
 class ActionCode(IntEnum):
-    """The first byte of an action record."""
+    """First byte of an action record."""
 
     SEND = 1
     REJECT = 2
@@ -84,72 +98,74 @@
     CLOSE_IDLE = 7
     GOSSIP = 8
     LOG = 9
-    FAULT = 10
+    POLICY_ERROR = 10  # no action: the policy raised an exception
     SUBSCRIBE = 11
     FETCH_LIST = 12
-    INSTANCE = 13
+    INSTANCE = 13  # no action: the records that follow belong to the instance of this number
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """An instance begins with these settings and this seed."""
+    """An instance is started, or restarted without its earlier state."""
 
-    seed: int
+    seed: int  # of the policy's random numbers
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceStopped:
-    """An instance was killed."""
+    """An instance is stopped, and its state is lost."""
 
 
 @dataclass(frozen=True, slots=True)
-class BatchHeader:
-    """What stands before the body of a batch."""
+class RequestHeader:
+    """Header of a request frame."""
 
-    sequence: int
-    body_size: int
-    now_us: int
-    record_count: int
+    sequence: int  # number of the request, repeated in its reply
+    body_size: int  # in bytes
+    now_us: int  # time of the tick
+    record_count: int  # event records at the beginning of the body
 
 
 WireEvent = model.Event | InstanceStarted | InstanceStopped
 
 
 def endpoint_id(address: int, port: int) -> int:
-    """The number that stands for an endpoint's address and port."""
+    """Return the endpoint number for an IPv4 address and a port."""
     return address << 16 | port
 
 
-def _decode(table: Mapping[int, Code], code: int, what: str) -> Code:
+def _lookup_code(table: Mapping[int, Code], code: int, field: str) -> Code:
     try:
         return table[code]
     except KeyError:
-        raise MalformedFrameError(f"unknown {what} {code}") from None
+        raise MalformedFrameError(
+            f"unknown {field} {code}, expected one of {sorted(map(int, table))}"
+        ) from None
 
 
-def _slice(tail: memoryview, offset: int, size: int, what: str) -> memoryview:
+def _tail_slice(tail: memoryview, offset: int, size: int, field: str) -> memoryview:
     if offset + size > len(tail):
         raise MalformedFrameError(
-            f"{what} lies outside the tail: offset {offset}, {size} bytes, tail {len(tail)}"
+            f"{field} is outside the tail: offset={offset} size={size}, but the tail has {len(tail)} bytes"
         )
     return tail[offset : offset + size]
 
 
-def read_header(header: bytes) -> BatchHeader:
-    """The header of a batch."""
-    if len(header) != BATCH_HEADER.size:
-        raise MalformedFrameError(f"short batch header: {len(header)} of {BATCH_HEADER.size} bytes")
-    return BatchHeader(*BATCH_HEADER.unpack(header))
+def read_request_header(header: bytes) -> RequestHeader:
+    """Parse the header of a request frame. Raises MalformedFrameError if it is truncated."""
+    if len(header) != REQUEST_HEADER.size:
+        raise MalformedFrameError(f"truncated request header: {len(header)} of {REQUEST_HEADER.size} bytes")
+    return RequestHeader(*REQUEST_HEADER.unpack(header))
 
 
 def read_entries(data: memoryview) -> tuple[EndpointEntry, ...]:
-    """The entries of an endpoint list."""
+    """Parse the entries of an endpoint list. Raises MalformedFrameError if a state is unknown."""
     return tuple(
         EndpointEntry(
             endpoint_id(address, port),
             destination,
-            _decode(ENDPOINT_STATES, state, "endpoint condition"),
+            _lookup_code(ENDPOINT_STATES, state, "endpoint state"),
             rate_limit_per_s,
             type_index,
             zone,
@@ -161,136 +177,160 @@
 
 
 def read_events(body: bytes, count: int, lists: EndpointLists) -> Iterator[tuple[int, WireEvent]]:
-    """(instance, event) for each record of a batch, in order."""
-    if count * EVENT_SIZE > len(body):
-        raise MalformedFrameError(f"{count} records do not fit a body of {len(body)} bytes")
+    """Yield the number of the instance and the event for each event of a request frame, in order.
+
+    ``count`` is the number of records. Lists that the frame registers are added to ``lists``. Raises
+    MalformedFrameError if the body is inconsistent or has an unknown code, and ValueError for malformed
+    settings.
+    """
+    if count * EVENT_SIZE_BYTES > len(body):
+        raise MalformedFrameError(f"{count} event records do not fit in a body of {len(body)} bytes")
     view = memoryview(body)
-    tail, instance = view[count * EVENT_SIZE :], None
+    tail, instance = view[count * EVENT_SIZE_BYTES :], None
     instance_code, register_code = int(EventCode.INSTANCE), int(EventCode.REGISTER_LIST)
-    for offset in range(0, count * EVENT_SIZE, EVENT_SIZE):
+    for offset in range(0, count * EVENT_SIZE_BYTES, EVENT_SIZE_BYTES):
         code = view[offset]
         if code == instance_code:
-            (instance,) = _U16.unpack_from(view, offset)
+            (instance,) = _INSTANCE_NUMBER.unpack_from(view, offset)
             continue
         if code == register_code:
-            number, start, entries = _REGISTER.unpack_from(view, offset)
-            lists[number] = read_entries(_slice(tail, start, entries * ENTRY_SIZE, "a list"))
+            number, start, entries = _REGISTER_LIST.unpack_from(view, offset)
+            lists[number] = read_entries(
+                _tail_slice(tail, start, entries * ENTRY_SIZE_BYTES, "an endpoint list")
+            )
             continue
         if instance is None:
-            raise MalformedFrameError(f"record {code} before any instance was named")
-        reader = _decode(_EVENT_READERS, code, "event code")
+            raise MalformedFrameError(f"event record with code {code} before any instance record")
+        reader = _lookup_code(_EVENT_READERS, code, "event code")
         yield instance, reader(view, offset, tail, lists)
-        if reader is _read_attempt_ended and (report := _load_report(view, offset)):
+        if reader is _read_attempt_ended and (report := _read_load_report(view, offset)):
             yield instance, report
 
 
-def _read_message(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
-    number, message_class, tenant, order_key, deadline_us, _, destination, flags = _ARRIVAL.unpack_from(
-        view, offset
+def _read_message_submitted(
+    view: memoryview, offset: int, tail: memoryview, lists: EndpointLists
+) -> WireEvent:
+    number, message_class, tenant, order_key, deadline_us, _, destination, flags = (
+        _MESSAGE_SUBMITTED.unpack_from(view, offset)
     )
-    resubmitted = bool(flags & ORDER_FLAG_RESUBMITTED)
+    resubmitted = bool(flags & MESSAGE_FLAG_RESUBMITTED)
     return model.MessageSubmitted(
         number, message_class, int(destination), deadline_us, tenant, order_key, resubmitted
     )
 
 
-def _read_health_check(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
-    latency_us, result, address, port, *_ = _HEALTH.unpack_from(view, offset)
-    return model.HealthCheckEnded(endpoint_id(address, port), _decode(RESULTS, result, "result"), latency_us)
+def _read_health_check_ended(
+    view: memoryview, offset: int, tail: memoryview, lists: EndpointLists
+) -> WireEvent:
+    latency_us, result, address, port, *_ = _HEALTH_CHECK_ENDED.unpack_from(view, offset)
+    return model.HealthCheckEnded(
+        endpoint_id(address, port), _lookup_code(RESULTS, result, "result"), latency_us
+    )
 
 
-def _read_timer(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
-    return model.TimerFired(_U64.unpack_from(view, offset)[0])
+def _read_timer_fired(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
+    return model.TimerFired(_TIMER_TOKEN.unpack_from(view, offset)[0])
 
 
-def _read_list(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
-    number, _, code = _DISCOVERY.unpack_from(view, offset)
-    form = _decode(LIST_FORMS, code, "list form")
+def _read_endpoint_list(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
+    number, _, code = _ENDPOINT_LIST.unpack_from(view, offset)
+    form = _lookup_code(LIST_FORMS, code, "list form")
     if form is EndpointListForm.FAILED:
         return model.EndpointListReceived(form)
     if number not in lists:
-        raise MalformedFrameError(f"list {number} was never declared")
+        raise MalformedFrameError(f"endpoint list {number} was not registered before")
     return model.EndpointListReceived(form, lists[number])
 
 
-def _read_begin(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
-    seed, start, size = _BEGIN.unpack_from(view, offset)
-    return InstanceStarted(seed, read_settings(_slice(tail, start, size, "the settings")))
+def _read_instance_started(
+    view: memoryview, offset: int, tail: memoryview, lists: EndpointLists
+) -> WireEvent:
+    seed, start, size = _INSTANCE_STARTED.unpack_from(view, offset)
+    return InstanceStarted(seed, read_settings(_tail_slice(tail, start, size, "settings text")))
 
 
 def _read_attempt_ended(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
-    number, attempt, address, port, code, latency_us, ended, wait_ms, *_ = _ANSWER.unpack_from(view, offset)
-    result = _decode(RESULTS, code, "result")
+    number, attempt, address, port, code, latency_us, ended, wait_ms, *_ = _ATTEMPT_ENDED.unpack_from(
+        view, offset
+    )
+    result = _lookup_code(RESULTS, code, "result")
     retry_after_us = wait_ms * 1000 if result is AttemptResult.REJECTED else 0
     endpoint = endpoint_id(address, port)
     return model.AttemptEnded(number, attempt, endpoint, result, latency_us, bool(ended), retry_after_us)
 
 
-def _load_report(view: memoryview, offset: int) -> model.LoadReportReceived | None:
-    """The load report that an outcome carries, if any."""
-    _, _, address, port, _, _, _, _, count, *values = _ANSWER.unpack_from(view, offset)
+def _read_load_report(view: memoryview, offset: int) -> model.LoadReportReceived | None:
+    """Return the load report that an ATTEMPT_ENDED record carries, None if it carries none."""
+    _, _, address, port, _, _, _, _, count, *values = _ATTEMPT_ENDED.unpack_from(view, offset)
     return model.LoadReportReceived(endpoint_id(address, port), tuple(values[:count])) if count else None
 
 
-def _read_shutdown(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
+def _read_instance_stopped(
+    view: memoryview, offset: int, tail: memoryview, lists: EndpointLists
+) -> WireEvent:
     return InstanceStopped()
 
 
-def _read_withdrawn(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
-    return model.MessageWithdrawn(_U32.unpack_from(view, offset)[0])
+def _read_message_withdrawn(
+    view: memoryview, offset: int, tail: memoryview, lists: EndpointLists
+) -> WireEvent:
+    return model.MessageWithdrawn(_MESSAGE_NUMBER.unpack_from(view, offset)[0])
 
 
 def _read_gossip(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
-    peer, start, size = _PEER.unpack_from(view, offset)
-    return model.GossipReceived(peer, bytes(_slice(tail, start, size, "a note")))
+    peer, start, size = _GOSSIP.unpack_from(view, offset)
+    return model.GossipReceived(peer, bytes(_tail_slice(tail, start, size, "gossip data")))
 
 
 def _read_response_started(
     view: memoryview, offset: int, tail: memoryview, lists: EndpointLists
 ) -> WireEvent:
-    number, address, port, attempt, _ = _OPENED.unpack_from(view, offset)
+    number, address, port, attempt, _ = _RESPONSE_STARTED.unpack_from(view, offset)
     return model.ResponseStarted(number, attempt, endpoint_id(address, port))
 
 
 _EVENT_READERS: dict[int, Callable[[memoryview, int, memoryview, EndpointLists], WireEvent]] = {
-    EventCode.MESSAGE: _read_message,
-    EventCode.HEALTH_CHECK: _read_health_check,
-    EventCode.TIMER: _read_timer,
-    EventCode.ENDPOINT_LIST: _read_list,
-    EventCode.BEGIN: _read_begin,
+    EventCode.MESSAGE_SUBMITTED: _read_message_submitted,
+    EventCode.HEALTH_CHECK: _read_health_check_ended,
+    EventCode.TIMER: _read_timer_fired,
+    EventCode.ENDPOINT_LIST: _read_endpoint_list,
+    EventCode.INSTANCE_STARTED: _read_instance_started,
     EventCode.ATTEMPT_ENDED: _read_attempt_ended,
-    EventCode.SHUTDOWN: _read_shutdown,
-    EventCode.WITHDRAWN: _read_withdrawn,
+    EventCode.INSTANCE_STOPPED: _read_instance_stopped,
+    EventCode.MESSAGE_WITHDRAWN: _read_message_withdrawn,
     EventCode.GOSSIP: _read_gossip,
     EventCode.RESPONSE_STARTED: _read_response_started,
 }
 
 
 class ReplyFrame:
-    """Collects the actions of one batch and packs them as a frame."""
+    """Collects the actions that answer one request frame, and packs them as a frame."""
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
         self.tail = bytearray()
 
-    def _add(self, form: str, *values: Any) -> None:
-        self.records.append(struct.pack(">" + form, *values).ljust(ACTION_SIZE, b"\0"))
+    def _add(self, fields: str, *values: Any) -> None:
+        self.records.append(struct.pack(">" + fields, *values).ljust(ACTION_SIZE_BYTES, b"\0"))
 
-    def _place(self, data: bytes) -> tuple[int, int]:
+    def _append_to_tail(self, data: bytes) -> tuple[int, int]:
         offset = len(self.tail)
         self.tail += data
         return offset, len(data)
 
     def add_instance(self, number: int) -> None:
-        """The actions that follow are this instance's."""
+        """Add an INSTANCE record: the actions that are added next belong to this instance."""
         self._add("BH", ActionCode.INSTANCE, number)
 
-    def add_fault(self, text: str) -> None:
-        """The instance failed to handle its events."""
-        self._add("BII", ActionCode.FAULT, *self._place(text.encode()))
+    def add_policy_error(self, text: str) -> None:
+        """Add a POLICY_ERROR record: the policy of the instance raised an exception with this text."""
+        self._add("BII", ActionCode.POLICY_ERROR, *self._append_to_tail(text.encode()))
 
     def add_action(self, action: model.Action) -> None:
-        """One action of the instance."""
+        """Add an action of the current instance.
+
+        Delays, time-outs and Retry-After values over 32 bits are reduced to the largest 32-bit number.
+        """
         match action:
             case model.SendAttempt(message, endpoint, timeout_us):
                 timeout_us = min(timeout_us, MAX_U32)
@@ -308,16 +348,16 @@
             case model.CloseIdleConnections(endpoint):
                 self._add("BIH", ActionCode.CLOSE_IDLE, endpoint >> 16, endpoint & 0xFFFF)
             case model.SendGossip(peer, data):
-                to = ALL_PEERS if peer is None else peer
-                self._add("BIII", ActionCode.GOSSIP, to, *self._place(data))
+                receiver = ALL_PEERS if peer is None else peer
+                self._add("BIII", ActionCode.GOSSIP, receiver, *self._append_to_tail(data))
             case model.LogMessage(text):
-                self._add("BII", ActionCode.LOG, *self._place(text.encode()))
+                self._add("BII", ActionCode.LOG, *self._append_to_tail(text.encode()))
             case model.SubscribeEndpointList(active):
                 self._add("BB", ActionCode.SUBSCRIBE, int(active))
             case model.FetchEndpointList():
                 self._add("B", ActionCode.FETCH_LIST)
 
     def pack(self, sequence: int) -> bytes:
-        """The frame that answers the batch of that number."""
+        """Return the frame that answers the request of that sequence number."""
         body = b"".join(self.records) + bytes(self.tail)
         return REPLY_HEADER.pack(sequence, len(self.records), len(body)) + body
--- a/message_relay/simulator_adapter/loop.py
+++ b/message_relay/simulator_adapter/loop.py
@@ -1,4 +1,4 @@
-"""Answers the simulator's batches: one DeliveryPolicy for each instance, with nothing shared between them."""
+"""Answers the simulator's requests. Each instance has a DeliveryPolicy; the policies share no state."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class Adapter:
-    """The policies of all instances that this process hosts."""
+    """The policies of all instances that the simulator has started in this process."""
 
     def __init__(self) -> None:
         self.policies: dict[int, DeliveryPolicy] = {}
         self.lists: frames.EndpointLists = {}
 
-    def reply(self, header: frames.BatchHeader, body: bytes) -> bytes:
-        """The reply to one batch."""
-        inbox: dict[int, list[Event]] = {}
+    def handle_request(self, header: frames.RequestHeader, body: bytes) -> bytes:
+        """Run one tick of each instance that the request names, and return the reply frame."""
+        events_by_instance: dict[int, list[Event]] = {}
         for instance, event in frames.read_events(body, header.record_count, self.lists):
-            events = inbox.setdefault(instance, [])
+            events = events_by_instance.setdefault(instance, [])
             if isinstance(event, frames.InstanceStarted):
                 self.policies[instance] = DeliveryPolicy(event.settings, event.seed)
             elif isinstance(event, frames.InstanceStopped):
@@ -29,7 +29,7 @@
             else:
                 events.append(event)
         reply = frames.ReplyFrame()
-        for instance, events in inbox.items():
+        for instance, events in events_by_instance.items():
             if instance in self.policies:
                 self._run_tick(reply, instance, header.now_us, events)
         return reply.pack(header.sequence)
@@ -37,9 +37,9 @@
     def _run_tick(self, reply: frames.ReplyFrame, instance: int, now_us: int, events: list[Event]) -> None:
         try:
             actions = self.policies[instance].handle(now_us, events)
-        except Exception as error:  # the simulator shows the text, whatever went wrong
+        except Exception as error:  # reported to the simulator, which shows the text
             reply.add_instance(instance)
-            reply.add_fault(f"{type(error).__name__}: {error}")
+            reply.add_policy_error(f"{type(error).__name__}: {error}")
             return
         if actions:
             reply.add_instance(instance)
@@ -48,12 +48,14 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer every batch until the input ends. ValueError for a malformed frame or settings."""
+    """Answer requests until the input ends. Raises ValueError if a frame or its settings are malformed."""
     adapter = Adapter()
-    while data := source.read(frames.BATCH_HEADER.size):
-        header = frames.read_header(data)
+    while data := source.read(frames.REQUEST_HEADER.size):
+        header = frames.read_request_header(data)
         body = source.read(header.body_size)
         if len(body) != header.body_size:
-            raise frames.MalformedFrameError(f"truncated batch: {len(body)} of {header.body_size} bytes")
-        sink.write(adapter.reply(header, body))
+            raise frames.MalformedFrameError(
+                f"truncated request body: {len(body)} of {header.body_size} bytes"
+            )
+        sink.write(adapter.handle_request(header, body))
         sink.flush()
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,7 @@
-"""Frames built from the field tables of the wire's description, and malformed frames."""
+"""Decoding of request frames and encoding of reply frames, byte for byte, and errors for malformed frames.
+
+The frames are packed here field by field, independently of the code under test.
+"""
 
 import json
 import os
@@ -42,40 +45,40 @@
 ADDRESS = 0x0A124A07
 
 
-def record(form, *values):
-    return struct.pack(">" + form, *values).ljust(40, b"\0")
+def event_record(fields, *values):
+    return struct.pack(">" + fields, *values).ljust(40, b"\0")
 
 
-def batch(records, tail=b"", seq=1, now=5_000_000, count=None):
+def request_frame(records, tail=b"", seq=1, now=5_000_000, count=None):
     body = b"".join(records) + tail
     return struct.pack(">IIQI", seq, len(body), now, len(records) if count is None else count) + body
 
 
-def begin_batch(seq=1, now=5_000_000, instances=(3,), settings=None):
+def start_request(seq=1, now=5_000_000, instances=(3,), settings=None):
     text = json.dumps(SETTINGS if settings is None else settings).encode()
     entry = struct.pack(">IHHBfQBH", ADDRESS, 9003, 57, 1, 4.0, 0, 0, 0)
-    records = [record("BBII", 6, 2, 0, 1)]
-    for n in instances:
+    records = [event_record("BBII", 6, 2, 0, 1)]
+    for number in instances:
         records += [
-            record("BH", 1, n),
-            record("BQII", 7, 77 + n, len(entry), len(text)),
-            record("BBQB", 5, 2, 1, 2),
+            event_record("BH", 1, number),
+            event_record("BQII", 7, 77 + number, len(entry), len(text)),
+            event_record("BBQB", 5, 2, 1, 2),
         ]
-    return batch(records, entry + text, seq, now)
+    return request_frame(records, entry + text, seq, now)
 
 
-def arrival(message, seq, now, instance=3, message_class=0):
-    return batch(
+def submission_request(message, seq, now, instance=3, message_class=0):
+    return request_frame(
         [
-            record("BH", 1, instance),
-            record("BIBIQQIfH", 2, message, message_class, 0, 0, now + 6_000_000, 0, 57.0, 2),
+            event_record("BH", 1, instance),
+            event_record("BIBIQQIfH", 2, message, message_class, 0, 0, now + 6_000_000, 0, 57.0, 2),
         ],
         seq=seq,
         now=now,
     )
 
 
-def run(data, **env):
+def run_adapter(data, **env):
     return subprocess.run(
         [sys.executable, "-m", "message_relay.simulator_adapter"],
         input=data,
@@ -85,8 +88,8 @@
     )
 
 
-def events(data):
-    header = wire.read_header(data[:20])
+def decoded_events(data):
+    header = wire.read_request_header(data[:20])
     return list(wire.read_events(data[20:], header.record_count, {}))
 
 
@@ -102,27 +105,29 @@
     )
 
 
-def test_begin_list_and_arrival():
-    received = events(begin_batch())
+def test_instance_start_list_and_submission():
+    received = decoded_events(start_request())
     assert received[0][0] == 3 and received[0][1].seed == 80
     assert received[1][1] == model.EndpointListReceived(
         model.EndpointListForm.CACHED,
         (model.EndpointEntry(wire.endpoint_id(ADDRESS, 9003), 57, model.EndpointState.READY, 4.0, 0, 0),),
     )
-    assert events(arrival(9, 2, 10))[0][1] == model.MessageSubmitted(9, 0, 57, 6_000_010, 0, 0, True)
+    assert decoded_events(submission_request(9, 2, 10))[0][1] == model.MessageSubmitted(
+        9, 0, 57, 6_000_010, 0, 0, True
+    )
 
 
-def test_reused_list_number_means_the_newer_list():
+def test_list_number_refers_to_the_list_registered_last():
     entry = struct.pack(">IHHBfQBH", ADDRESS, 1, 1, 1, 0, 0, 0, 0)
     other = struct.pack(">IHHBfQBH", ADDRESS, 2, 1, 0, 0, 0, 0, 0)
-    received = events(
-        batch(
+    received = decoded_events(
+        request_frame(
             [
-                record("BH", 1, 0),
-                record("BBII", 6, 4, 0, 1),
-                record("BBQB", 5, 4, 1, 0),
-                record("BBII", 6, 4, 24, 1),
-                record("BBQB", 5, 4, 2, 1),
+                event_record("BH", 1, 0),
+                event_record("BBII", 6, 4, 0, 1),
+                event_record("BBQB", 5, 4, 1, 0),
+                event_record("BBII", 6, 4, 24, 1),
+                event_record("BBQB", 5, 4, 2, 1),
             ],
             entry + other,
         )
@@ -131,20 +136,20 @@
     assert received[1][1].entries[0].state is model.EndpointState.REMOVED
 
 
-def test_outcomes_health_checks_gossip_and_other_events():
+def test_outcomes_health_checks_gossip_and_other_events_are_decoded():
     received = [
         e
-        for _, e in events(
-            batch(
+        for _, e in decoded_events(
+            request_frame(
                 [
-                    record("BH", 1, 3),
-                    record("BIBIHHIBI", 8, 5, 1, ADDRESS, 9003, 429, 18, 0, 250),
-                    record("BIHIH", 3, 1400, 200, ADDRESS, 9003),
-                    record("BIII", 11, 2, 0, 4),
-                    record("BI", 10, 5),
-                    record("BQ", 4, 77),
-                    record("BIIHBI", 12, 5, ADDRESS, 9003, 1, 9),
-                    record("BBQB", 5, 0, 3, 3),
+                    event_record("BH", 1, 3),
+                    event_record("BIBIHHIBI", 8, 5, 1, ADDRESS, 9003, 429, 18, 0, 250),
+                    event_record("BIHIH", 3, 1400, 200, ADDRESS, 9003),
+                    event_record("BIII", 11, 2, 0, 4),
+                    event_record("BI", 10, 5),
+                    event_record("BQ", 4, 77),
+                    event_record("BIIHBI", 12, 5, ADDRESS, 9003, 1, 9),
+                    event_record("BBQB", 5, 0, 3, 3),
                 ],
                 b"hi 7",
             )
@@ -167,11 +172,11 @@
     assert read_settings(json.dumps(settings)).load_report_fields == ("x0", "x1")
     received = [
         e
-        for _, e in events(
-            batch(
+        for _, e in decoded_events(
+            request_frame(
                 [
-                    record("BH", 1, 3),
-                    record("BIBIHHIBIB4f", 8, 5, 1, ADDRESS, 9003, 200, 18, 1, 0, 2, 0.5, 25, 0, 0),
+                    event_record("BH", 1, 3),
+                    event_record("BIBIHHIBIB4f", 8, 5, 1, ADDRESS, 9003, 200, 18, 1, 0, 2, 0.5, 25, 0, 0),
                 ]
             )
         )
@@ -183,7 +188,7 @@
     ]
 
 
-def test_actions_are_packed_as_specified():
+def test_reply_frame_is_packed_byte_for_byte():
     reply = wire.ReplyFrame()
     reply.add_instance(3)
     reply.add_action(model.SendAttempt(0x5D3A91C4, wire.endpoint_id(ADDRESS, 9003), 80_000))
@@ -213,7 +218,7 @@
         (model.FetchEndpointList(), 12),
     ],
 )
-def test_every_action_has_its_code(action, code):
+def test_action_record_begins_with_its_code(action, code):
     reply = wire.ReplyFrame()
     reply.add_action(action)
     assert len(reply.records[0]) == 16 and reply.records[0][0] == code
@@ -225,53 +230,63 @@
 @pytest.mark.parametrize(
     "data, expected_error",
     [
-        (b"\0\0\0\1", "short batch header"),
-        (struct.pack(">IIQI", 1, 80, 0, 0) + b"x", "truncated batch"),
-        (batch([record("BH", 1, 0), record("B", 99)]), "unknown event code 99"),
-        (batch([record("BH", 1, 0), record("BIII", 11, 2, 5, 90)]), "outside the tail"),
-        (batch([record("BQ", 4, 1)]), "before any instance"),
-        (batch([], count=3), "do not fit"),
-        (batch([record("BH", 1, 0), record("BQII", 7, 1, 0, 3)], b"{{{"), "not JSON"),
-        (begin_batch(settings=SETTINGS_WITHOUT_CONTRACT), "'contract'"),
-        (batch([record("BH", 1, 0), record("BIBIHHIBI", 8, 5, 1, 1, 1, 777, 1, 0, 0)]), "unknown result 777"),
+        (b"\0\0\0\1", "truncated request header"),
+        (struct.pack(">IIQI", 1, 80, 0, 0) + b"x", "truncated request body"),
+        (request_frame([event_record("BH", 1, 0), event_record("B", 99)]), "unknown event code 99"),
+        (request_frame([event_record("BH", 1, 0), event_record("BIII", 11, 2, 5, 90)]), "outside the tail"),
+        (request_frame([event_record("BQ", 4, 1)]), "before any instance"),
+        (request_frame([], count=3), "do not fit"),
+        (request_frame([event_record("BH", 1, 0), event_record("BQII", 7, 1, 0, 3)], b"{{{"), "not JSON"),
+        (start_request(settings=SETTINGS_WITHOUT_CONTRACT), "'contract'"),
+        (
+            request_frame([event_record("BH", 1, 0), event_record("BIBIHHIBI", 8, 5, 1, 1, 1, 777, 1, 0, 0)]),
+            "unknown result 777",
+        ),
     ],
 )
-def test_malformed_input_ends_with_one_line_of_error(data, expected_error):
-    done = run(data)
-    assert done.returncode != 0 and expected_error in done.stderr.decode()
-    assert done.stderr.count(b"\n") == 1
+def test_malformed_input_is_reported_in_one_line(data, expected_error):
+    process = run_adapter(data)
+    assert process.returncode != 0 and expected_error in process.stderr.decode()
+    assert process.stderr.count(b"\n") == 1
 
 
-def test_exception_in_the_policy_is_reported_as_a_fault(monkeypatch):
+def test_exception_in_the_policy_is_reported_in_the_reply(monkeypatch):
     monkeypatch.setattr(DeliveryPolicy, "handle", lambda *a: 1 / 0)
-    data = begin_batch()
-    reply = Adapter().reply(wire.read_header(data[:20]), data[20:])
+    data = start_request()
+    reply = Adapter().handle_request(wire.read_request_header(data[:20]), data[20:])
     assert reply[12 + 16] == 10 and b"ZeroDivisionError" in reply
 
 
-def test_output_is_equal_under_any_hash_seed_and_when_instances_are_split():
-    def day(instances):
-        data = begin_batch(instances=instances)
-        for k in range(2, 40):
-            for n in instances:
-                data += arrival(k, k * 10 + n, 5_000_000 + k * 500_000, n, k % 2)
+def test_output_depends_neither_on_hash_seed_nor_on_other_instances():
+    def requests_of(instances):
+        data = start_request(instances=instances)
+        for message in range(2, 40):
+            for number in instances:
+                data += submission_request(
+                    message, message * 10 + number, 5_000_000 + message * 500_000, number, message % 2
+                )
         return data
 
-    both = run(day((3, 4)), PYTHONHASHSEED="1")
-    assert both.returncode == 0 and both.stdout == run(day((3, 4)), PYTHONHASHSEED="2").stdout
+    combined = run_adapter(requests_of((3, 4)), PYTHONHASHSEED="1")
+    assert (
+        combined.returncode == 0
+        and combined.stdout == run_adapter(requests_of((3, 4)), PYTHONHASHSEED="2").stdout
+    )
 
-    def replies(out):
-        found = {}
+    def reply_bodies(out):
+        body_by_sequence = {}
         while out:
             seq, _, size = struct.unpack(">III", out[:12])
-            found[seq], out = out[12 : 12 + size], out[12 + size :]
-        return found
-
-    together = replies(both.stdout)
-    assert len(together) == 1 + 2 * 38 and sum(map(len, together.values())) > 1500
-    for n in (3, 4):
-        alone = replies(run(day((n,))).stdout)
-        assert len(alone) == 39 and all(together[seq] == body for seq, body in alone.items() if seq > 1)
+            body_by_sequence[seq], out = out[12 : 12 + size], out[12 + size :]
+        return body_by_sequence
+
+    combined_replies = reply_bodies(combined.stdout)
+    assert len(combined_replies) == 1 + 2 * 38 and sum(map(len, combined_replies.values())) > 1500
+    for number in (3, 4):
+        separate = reply_bodies(run_adapter(requests_of((number,))).stdout)
+        assert len(separate) == 39 and all(
+            combined_replies[seq] == body for seq, body in separate.items() if seq > 1
+        )
 
 
 @pytest.mark.parametrize(
@@ -285,14 +300,14 @@
     ],
 )
 def test_invalid_settings_name_the_field(field, change):
-    good = {"classes": (model.MessageClass("a", 1, 2),), "call_slots": 1, "max_open_messages": 1}
-    model.Settings(**good)
+    valid = {"classes": (model.MessageClass("a", 1, 2),), "call_slots": 1, "max_open_messages": 1}
+    model.Settings(**valid)
     with pytest.raises(ValueError, match=field):
-        model.Settings(**{**good, **change})
+        model.Settings(**{**valid, **change})
 
 
-def test_unknown_idempotency_is_named():
-    bad = json.loads(json.dumps(SETTINGS))
-    bad["classes"][0]["idempotency"] = "sometimes"
+def test_unknown_idempotency_is_named_in_the_error():
+    settings = json.loads(json.dumps(SETTINGS))
+    settings["classes"][0]["idempotency"] = "sometimes"
     with pytest.raises(ValueError, match="idempotency"):
-        read_settings(json.dumps(bad))
+        read_settings(json.dumps(settings))
