--- a/message_relay/model/settings.py
+++ b/message_relay/model/settings.py
@@ -43,9 +43,7 @@
     deadline_us: int  # time from submission until the message must have its final answer
     idempotency: Idempotency = Idempotency.IDEMPOTENT  # whether an attempt may be repeated
     priority_weight: float = 1.0  # full weight of a message, relative to the other classes
-    late_weight_share: float = (
-        0.0  # share of the full weight that a message still has at its deadline, 0 to 1
-    )
+    late_weight_share: float = 0.0  # share of the full weight that is left at the deadline, 0 to 1
     key_scope: KeyScope = KeyScope.ALL  # KEYED only: endpoints that recognize an idempotency key
     key_window_us: int = 0  # KEYED only: time for which endpoints recognize a key after its first delivery
     ordered: bool = False  # deliver messages with the same order key one at a time, in order of submission
--- a/message_relay/policy_snapshot/__init__.py
+++ b/message_relay/policy_snapshot/__init__.py
@@ -1,6 +1,6 @@
-"""The policy's state for a hot restart: typed, no decision.
+"""Snapshot of a policy's state, which the old process of a hot restart hands over to the new one.
 
-Times stay on the clock that both processes share.
+Both processes use the same clock, so points in time are passed on unchanged.
 """
 
 from message_relay.policy_snapshot.snapshots import PolicySnapshot
--- a/message_relay/policy_snapshot/snapshots.py
+++ b/message_relay/policy_snapshot/snapshots.py
@@ -1,4 +1,4 @@
-"""The snapshot of a policy, as typed data and as the map that goes over the wire."""
+"""Snapshot of a policy, as typed data and as the map that is sent to the new process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class InstanceSnapshot(NamedTuple):
-    """What concerns the whole instance: counters, quotas and call statistics."""
+    """State of the instance as such: counters, quotas and call statistics. Fields as in PolicyState."""
 
     sequence: int
     rejections_since_resubmission: int
@@ -19,33 +19,44 @@
     statistics: CallStatistics
 
     def instance_values(self) -> Values:
-        """In the order of the wire: the counters."""
-        quotas = [[q.rate_per_s, q.bucket.tokens, q.bucket.updated_at_us] for q in self.quotas]
+        """Return the counters and quotas, in the order in which they are sent."""
+        quotas = [
+            [quota.rate_per_s, quota.bucket.tokens, quota.bucket.updated_at_us] for quota in self.quotas
+        ]
         return [self.sequence, self.rejections_since_resubmission, self.capacity_full, quotas]
 
     def statistics_values(self) -> Values:
-        """In the order of the wire: the statistics."""
-        s = self.statistics
+        """Return the start time and the statistics, in the order in which they are sent."""
+        statistics = self.statistics
         return [
             self.started_at_us,
-            s.idle_reuse_limit_us,
-            s.rejection_rates,
-            s.lost_idle_calls,
-            s.slot_occupancy_us,
-            s.lost_call_rate,
-            s.connection_setup_us,
-            s.connection_setup_deviation_us,
-            [s.unanswered_rates.new, s.unanswered_rates.reused],
-            [s.reset_rates.new, s.reset_rates.reused],
+            statistics.idle_reuse_limit_us,
+            statistics.rejection_rates,
+            statistics.lost_idle_calls,
+            statistics.slot_occupancy_us,
+            statistics.lost_call_rate,
+            statistics.connection_setup_us,
+            statistics.connection_setup_deviation_us,
+            [statistics.unanswered_rates.new, statistics.unanswered_rates.reused],
+            [statistics.reset_rates.new, statistics.reset_rates.reused],
         ]
 
     @classmethod
     def from_values(cls, instance: Values, statistics: Values) -> InstanceSnapshot:
-        """The reverse of the two."""
+        """Return the snapshot from the lists that instance_values and statistics_values returned."""
         sequence, rejections_since_resubmission, capacity_full, quotas = instance
-        started_at_us, reuse_us, rejections, lost_idle, occupancy, lost, setup, deviation, silent, reset = (
-            statistics
-        )
+        (
+            started_at_us,
+            idle_reuse_limit_us,
+            rejection_rates,
+            lost_idle_calls,
+            slot_occupancy_us,
+            lost_call_rate,
+            connection_setup_us,
+            connection_setup_deviation_us,
+            unanswered_rates,
+            reset_rates,
+        ) = statistics
         return cls(
             sequence,
             rejections_since_resubmission,
@@ -53,28 +64,28 @@
             [TenantQuota(rate, TokenBucket(tokens, at_us)) for rate, tokens, at_us in quotas],
             started_at_us,
             CallStatistics(
-                idle_reuse_limit_us=reuse_us,
-                rejection_rates=rejections,
-                lost_idle_calls=lost_idle,
-                slot_occupancy_us=occupancy,
-                lost_call_rate=lost,
-                connection_setup_us=setup,
-                connection_setup_deviation_us=deviation,
-                unanswered_rates=ConnectionRates(*silent),
-                reset_rates=ConnectionRates(*reset),
+                idle_reuse_limit_us=idle_reuse_limit_us,
+                rejection_rates=rejection_rates,
+                lost_idle_calls=lost_idle_calls,
+                slot_occupancy_us=slot_occupancy_us,
+                lost_call_rate=lost_call_rate,
+                connection_setup_us=connection_setup_us,
+                connection_setup_deviation_us=connection_setup_deviation_us,
+                unanswered_rates=ConnectionRates(*unanswered_rates),
+                reset_rates=ConnectionRates(*reset_rates),
             ),
         )
 
 
 class GroupSnapshot(NamedTuple):
-    """An endpoint group: its endpoints' numbers and its values."""
+    """An endpoint group."""
 
-    endpoints: list[int]
-    values: Values
+    endpoints: list[int]  # numbers of its endpoints
+    values: Values  # group_values
 
 
 class DestinationSnapshot(NamedTuple):
-    """A destination and its groups."""
+    """A destination with its endpoint groups. Fields as in Destination."""
 
     number: int
     type_index: int
@@ -83,39 +94,42 @@
 
 
 class EndpointSnapshot(NamedTuple):
-    """An endpoint and its circuit breaker."""
+    """An endpoint with its circuit breaker."""
 
     id: int
-    destination: int
+    destination: int  # number of the destination
     zone: int
-    values: Values
-    circuit: Values
+    values: Values  # endpoint_values
+    circuit: Values  # circuit_values
 
 
 class MessageSnapshot(NamedTuple):
-    """A message; last_endpoint is -1 if it was never attempted."""
+    """A message that is open or has attempts in flight."""
 
     id: int
-    message_class: int
-    destination: int
+    message_class: int  # index in Settings.classes
+    destination: int  # number of the destination
     deadline_us: int
-    last_endpoint: int
-    values: Values
+    last_endpoint: int  # number of the endpoint of the last attempt, -1 if there was none
+    values: Values  # message_values
 
 
 class CallSnapshot(NamedTuple):
-    """A call in flight with its attempts, each as (message, attempt)."""
+    """A call in flight."""
 
-    endpoint: int
-    half_open: bool
-    values: Values
-    attempts: list[tuple[int, int]]
+    endpoint: int  # number of the endpoint
+    half_open: bool  # it is the half-open attempt of its circuit breaker
+    values: Values  # call_values
+    attempts: list[tuple[int, int]]  # number of the message, number of the attempt
 
 
 class PolicySnapshot(NamedTuple):
-    """All that the policy of a new process needs to go on as if it were this one."""
+    """Complete state of a policy: a policy that restores it decides as this one would have.
 
-    attempts: dict[int, int]  # by message
+    Endpoint numbers are those of the process that captured the snapshot.
+    """
+
+    attempts: dict[int, int]  # number of attempts started, by message
     instance: InstanceSnapshot
     destinations: list[DestinationSnapshot]
     endpoints: list[EndpointSnapshot]
@@ -123,14 +137,19 @@
     calls: list[CallSnapshot]
 
     def to_wire(self) -> dict[str, Any]:
-        """The map that goes to the new process."""
+        """Return the map that is sent to the new process."""
         return {
             "tries": self.attempts,
             "courier": self.instance.instance_values(),
             "health": self.instance.statistics_values(),
             "dests": [
-                [d.number, d.type_index, d.arrivals, [[g.endpoints, g.values] for g in d.groups]]
-                for d in self.destinations
+                [
+                    destination.number,
+                    destination.type_index,
+                    destination.arrivals,
+                    [[group.endpoints, group.values] for group in destination.groups],
+                ]
+                for destination in self.destinations
             ],
             "endpoints": [[e.id, e.destination, e.zone, e.values, e.circuit] for e in self.endpoints],
             "messages": [
@@ -142,7 +161,10 @@
 
     @classmethod
     def from_wire(cls, wire: dict[str, Any]) -> PolicySnapshot:
-        """The reverse. LookupError, TypeError or ValueError if something lacks or is of another form."""
+        """Return the snapshot from the map that to_wire returned.
+
+        Raises LookupError, TypeError or ValueError if a part is missing or has another form.
+        """
         return cls(
             attempts=wire["tries"],
             instance=InstanceSnapshot.from_values(wire["courier"], wire["health"]),
--- a/message_relay/policy_snapshot/transfer.py
+++ b/message_relay/policy_snapshot/transfer.py
@@ -1,4 +1,4 @@
-"""A policy's state into a snapshot, and back into the policy of another process."""
+"""Capture of a policy's state in a snapshot, and its restoration in the policy of another process."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
     endpoint_values,
     group_values,
     message_values,
-    restore_circuit,
-    restore_endpoint,
-    restore_group,
-    restore_message,
+    set_circuit_values,
+    set_endpoint_values,
+    set_group_values,
+    set_message_values,
 )
 from message_relay.policy_state import Call, Destination, Endpoint, Message, PolicyState
 
 
 def capture(state: PolicyState) -> PolicySnapshot:
-    """The state as it is now."""
+    """Return a snapshot of the state. Its quotas and statistics are the objects of the state, not copies."""
     return PolicySnapshot(
         attempts={message.id: message.attempts for message in state.messages.values()},
         instance=InstanceSnapshot(
@@ -67,8 +67,8 @@
 
 
 def _capture_calls(state: PolicyState) -> list[CallSnapshot]:
-    attempts: dict[int, list[tuple[int, int]]] = {}  # by the call's identity
-    calls: dict[int, Call] = {}
+    attempts: dict[int, list[tuple[int, int]]] = {}  # by id(call)
+    calls: dict[int, Call] = {}  # by id(call)
     for attempt, (call, _) in state.calls.items():
         calls[id(call)] = call
         attempts.setdefault(id(call), []).append(attempt)
@@ -84,7 +84,10 @@
 
 
 def restore(state: PolicyState, snapshot: PolicySnapshot, endpoints: dict[int, int]) -> None:
-    """Go on with what another process began. ``endpoints`` maps its endpoint numbers to those of this one."""
+    """Add the state of a snapshot to the state of a policy to which the endpoint list was already applied.
+
+    ``endpoints`` maps the endpoint numbers of the snapshot to those of this process.
+    """
     _restore_instance(state, snapshot.instance)
     type_indexes = {
         d.number: min(d.type_index, len(state.settings.destination_types) - 1) for d in snapshot.destinations
@@ -93,7 +96,7 @@
     for destination in snapshot.destinations:
         _restore_destination(state, destination, endpoints, type_indexes[destination.number])
     for message in snapshot.messages:
-        _restore_one_message(state, message, endpoints)
+        _restore_message(state, message, endpoints)
     for call in snapshot.calls:
         _restore_call(state, call, endpoints)
     for open_message in state.messages.values():
@@ -113,72 +116,75 @@
 def _restore_endpoints(
     state: PolicyState, snapshot: PolicySnapshot, endpoints: dict[int, int], type_indexes: dict[int, int]
 ) -> None:
-    busy = {call.endpoint for call in snapshot.calls}
-    for own in snapshot.endpoints:
-        endpoint = state.endpoints.get(endpoints[own.id])
-        if endpoint is None and own.id in busy:  # listed no more, but a call is still in flight there
-            type_index, removed = type_indexes[own.destination], EndpointState.REMOVED
-            entry = EndpointEntry(endpoints[own.id], own.destination, removed, 0.0, type_index, own.zone)
+    endpoints_with_calls = {call.endpoint for call in snapshot.calls}
+    for captured in snapshot.endpoints:
+        endpoint = state.endpoints.get(endpoints[captured.id])
+        # An endpoint that is not listed any more is restored only while a call to it is in flight.
+        if endpoint is None and captured.id in endpoints_with_calls:
+            type_index, removed = type_indexes[captured.destination], EndpointState.REMOVED
+            entry = EndpointEntry(
+                endpoints[captured.id], captured.destination, removed, 0.0, type_index, captured.zone
+            )
             endpoint = state.add_endpoint(entry)
             endpoint.state = removed
         if endpoint is not None:
-            restore_endpoint(endpoint, own.values)
-            restore_circuit(endpoint.circuit, own.circuit)
+            set_endpoint_values(endpoint, captured.values)
+            set_circuit_values(endpoint.circuit, captured.circuit)
 
 
 def _restore_destination(
-    state: PolicyState, own: DestinationSnapshot, endpoints: dict[int, int], type_index: int
+    state: PolicyState, captured: DestinationSnapshot, endpoints: dict[int, int], type_index: int
 ) -> None:
-    destination = state.destination(own.number)
-    destination.type_index, destination.arrivals = type_index, own.arrivals
-    for group in own.groups:
+    destination = state.destination(captured.number)
+    destination.type_index, destination.arrivals = type_index, captured.arrivals
+    for group in captured.groups:
         numbers = [endpoints.get(number, 0) for number in group.endpoints]
-        known = [state.endpoints[number] for number in numbers if number in state.endpoints]
-        if not destination.groups:  # its Retry-After holds for endpoints that are yet to come
+        present = [state.endpoints[number] for number in numbers if number in state.endpoints]
+        if not destination.groups:  # its Retry-After also holds for endpoints that are listed later
             state.add_group(destination)
-        if known or not state.settings.destination_types[type_index].independent_endpoints:
-            restore_group(known[0].group if known else destination.groups[0], group.values)
+        if present or not state.settings.destination_types[type_index].independent_endpoints:
+            set_group_values(present[0].group if present else destination.groups[0], group.values)
 
 
-def _restore_one_message(state: PolicyState, own: MessageSnapshot, endpoints: dict[int, int]) -> None:
-    message_class = state.settings.classes[own.message_class]
-    event = MessageSubmitted(own.id, own.message_class, own.destination, own.deadline_us)
-    destination = state.destinations[own.destination]
+def _restore_message(state: PolicyState, captured: MessageSnapshot, endpoints: dict[int, int]) -> None:
+    message_class = state.settings.classes[captured.message_class]
+    event = MessageSubmitted(captured.id, captured.message_class, captured.destination, captured.deadline_us)
+    destination = state.destinations[captured.destination]
     message = Message.submitted(event, message_class, destination, 0, state.now_us)
-    state.messages[own.id] = message
-    restore_message(message, own.values)
-    message.last_endpoint = state.endpoints.get(endpoints.get(own.last_endpoint, 0))
+    state.messages[captured.id] = message
+    set_message_values(message, captured.values)
+    message.last_endpoint = state.endpoints.get(endpoints.get(captured.last_endpoint, 0))
     if message.order_key:
         state.order_queues.setdefault(message.order_key, []).append(message)
     if not message.closed:
         state.schedule_expiry(message.deadline_us - state.deadline_margin_us, message)
 
 
-def _restore_call(state: PolicyState, own: CallSnapshot, endpoints: dict[int, int]) -> None:
-    endpoint = state.endpoints[endpoints[own.endpoint]]
+def _restore_call(state: PolicyState, captured: CallSnapshot, endpoints: dict[int, int]) -> None:
+    endpoint = state.endpoints[endpoints[captured.endpoint]]
     (
         sent_at_us,
         outcome_recorded,
-        idle_us,
+        connection_idle_us,
         endpoint_was_idle,
         require_new_connection,
         connection_limit_reached,
-    ) = own.values
+    ) = captured.values
     call = Call(
         endpoint,
         sent_at_us,
         endpoint_was_idle,
-        len(own.attempts),
+        len(captured.attempts),
         outcome_recorded,
-        idle_us,
+        connection_idle_us,
         require_new_connection,
         connection_limit_reached,
     )
     endpoint.in_flight[id(call)] = call
-    if own.half_open:
+    if captured.half_open:
         endpoint.circuit.half_open_call = call
     state.count_in_flight(call, 1)
-    for number, attempt in own.attempts:
+    for number, attempt in captured.attempts:
         message = state.messages[number]
         state.calls[(number, attempt)] = (call, message)
         message.in_flight += 1
--- a/message_relay/policy_snapshot/values.py
+++ b/message_relay/policy_snapshot/values.py
@@ -1,6 +1,7 @@
-"""The state of single objects as lists of values, in the order in which they go over the wire.
+"""Lists of values that a hot restart sends: one for each group, endpoint, circuit, call and message.
 
-The order is that of version 3 of the hot restart: an earlier build writes and reads the same.
+The order of the values is part of version 3 of the hot restart protocol. It must not change, since the other
+process may run an earlier build.
 """
 
 from __future__ import annotations
@@ -9,11 +10,11 @@
 
 from message_relay.policy_state import Call, CircuitBreaker, Endpoint, EndpointGroup, Message
 
-Values = list[Any]  # as they come from the wire
+Values = list[Any]  # the types are not checked when a list is received
 
 
 def group_values(group: EndpointGroup) -> Values:
-    """A group's state in the order of the wire."""
+    """Return the values of an endpoint group, in the order in which they are sent."""
     recovery = group.recovery
     return [
         group.advertised_rate_per_s,
@@ -40,8 +41,8 @@
     ]
 
 
-def restore_group(group: EndpointGroup, values: Values) -> None:
-    """Set a group's state from its values."""
+def set_group_values(group: EndpointGroup, values: Values) -> None:
+    """Set the fields of an endpoint group from the list that group_values returned."""
     recovery = group.recovery
     (
         group.advertised_rate_per_s,
@@ -69,7 +70,7 @@
 
 
 def endpoint_values(endpoint: Endpoint) -> Values:
-    """An endpoint's state in the order of the wire."""
+    """Return the values of an endpoint, in the order in which they are sent."""
     return [
         endpoint.cordoned,
         endpoint.failure_rate,
@@ -82,8 +83,8 @@
     ]
 
 
-def restore_endpoint(endpoint: Endpoint, values: Values) -> None:
-    """Set an endpoint's state from its values."""
+def set_endpoint_values(endpoint: Endpoint, values: Values) -> None:
+    """Set the fields of an endpoint from the list that endpoint_values returned."""
     (
         endpoint.cordoned,
         endpoint.failure_rate,
@@ -97,7 +98,7 @@
 
 
 def circuit_values(circuit: CircuitBreaker) -> Values:
-    """A circuit breaker's state in the order of the wire."""
+    """Return the values of a circuit breaker, in the order in which they are sent."""
     return [
         circuit.failure_rate,
         circuit.open,
@@ -110,8 +111,8 @@
     ]
 
 
-def restore_circuit(circuit: CircuitBreaker, values: Values) -> None:
-    """Set a circuit breaker's state from its values."""
+def set_circuit_values(circuit: CircuitBreaker, values: Values) -> None:
+    """Set the fields of a circuit breaker from the list that circuit_values returned."""
     (
         circuit.failure_rate,
         circuit.open,
@@ -125,7 +126,7 @@
 
 
 def call_values(call: Call) -> Values:
-    """A call's state in the order of the wire."""
+    """Return the values of a call, in the order in which they are sent."""
     return [
         call.sent_at_us,
         call.outcome_recorded,
@@ -137,7 +138,7 @@
 
 
 def message_values(message: Message) -> Values:
-    """A message's state in the order of the wire."""
+    """Return the values of a message, in the order in which they are sent."""
     return [
         message.sequence,
         message.order_key,
@@ -153,8 +154,8 @@
     ]
 
 
-def restore_message(message: Message, values: Values) -> None:
-    """Set a message's state from its values."""
+def set_message_values(message: Message, values: Values) -> None:
+    """Set the fields of a message from the list that message_values returned."""
     (
         message.sequence,
         message.order_key,
