--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,8 @@
-"""Data of the build e83b7b3: the frames of a hot restart and the policy's exported state."""
+"""Compatibility with recordings of the build e83b7b3: hot restart frames, policy actions and exported state.
+
+Guards against a change of the hot restart protocol, after which a process could not take over from one that
+runs an earlier build, and against an unintended change of the policy's decisions.
+"""
 
 import asyncio
 import gzip
@@ -26,7 +30,7 @@
 FIXTURES = pathlib.Path(__file__).parent / "fixtures"
 
 
-# The policy: the same actions on the same recorded days, and the same exported state.
+# The policy takes the recorded actions on the recorded events, and exports the recorded state.
 
 IDEMPOTENCY = {
     "safe": model.Idempotency.IDEMPOTENT,
@@ -67,10 +71,12 @@
         call_slots=scenario["slots"],
         max_open_messages=scenario["open"],
         destination_types=tuple(
-            model.DestinationType(f"k{n}", apart, batch) for n, (apart, batch) in enumerate(scenario["kinds"])
+            model.DestinationType(f"k{number}", independent, batch_size)
+            for number, (independent, batch_size) in enumerate(scenario["kinds"])
         ),
         tenants=tuple(
-            model.Tenant(f"t{n}", share, quota) for n, (share, quota) in enumerate(scenario["tenants"])
+            model.Tenant(f"t{number}", share, quota)
+            for number, (share, quota) in enumerate(scenario["tenants"])
         ),
         instance_count=scenario["instances"],
         max_attempts=scenario["max_attempts"],
@@ -96,8 +102,8 @@
     match event:
         case "list", form, entries:
             listed = (
-                model.EndpointEntry(e, d, STATES[s], rate, kind, zone)
-                for e, d, s, rate, kind, zone in entries
+                model.EndpointEntry(endpoint, destination, STATES[state], rate, type_index, zone)
+                for endpoint, destination, state, rate, type_index, zone in entries
             )
             return model.EndpointListReceived(FORMS[form], tuple(listed))
         case "message", *values:
@@ -108,12 +114,12 @@
             return model.ResponseStarted(*values)
         case "ended", message, attempt, endpoint, result, *values:
             return model.AttemptEnded(message, attempt, endpoint, model.AttemptResult(result), *values)
-        case "cordon", endpoint, on:
-            return model.EndpointCordoned(endpoint, on)
+        case "cordon", endpoint, cordoned:
+            return model.EndpointCordoned(endpoint, cordoned)
         case "withdrawn", message:
             return model.MessageWithdrawn(message)
-        case "shutdown", until:
-            return model.ShutdownScheduled(until)
+        case "shutdown", deadline:
+            return model.ShutdownScheduled(deadline)
         case "timer", token:
             return model.TimerFired(token)
     raise ValueError(event)
@@ -138,7 +144,7 @@
 
 
 class Adapter:
-    """The policy of this build, in the terms of `policy_scenarios`."""
+    """Runs the policy on the plain tuples of `policy_scenarios`, which name no types of a build."""
 
     def __init__(self, scenario, seed):
         self.settings = settings_of(scenario)
@@ -162,14 +168,14 @@
 
     def replace(self, snapshot, numbers, seed, now, events):
         self.policy = DeliveryPolicy(self.settings, seed)
-        inherited = model.StateImported(
+        imported = model.StateImported(
             PolicySnapshot.from_wire(msgpack.unpackb(snapshot, strict_map_key=False)), numbers
         )
-        return self._actions(now, [*[event_of(event) for event in events], inherited])
+        return self._actions(now, [*[event_of(event) for event in events], imported])
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS)
-def test_decisions_and_exported_state_are_those_of_the_earlier_build(scenario):
+def test_policy_decides_and_exports_as_the_earlier_build(scenario):
     ticks, states = play(scenario, 1, Adapter)
     recorded = (
         gzip.decompress((FIXTURES / f"policy-{scenario}.actions.gz").read_bytes()).decode().splitlines()
@@ -181,26 +187,26 @@
         assert exported == (FIXTURES / f"policy-{scenario}.{number}.msgpack").read_bytes()
 
 
-# A hot restart from a process of the earlier build.
+# A hot restart in which the old process runs the earlier build.
 
 LENGTH = struct.Struct(">I")
 
 
 def recorded_frames():
-    data, at, frames = (FIXTURES / "hot-restart-e83b7b3.frames").read_bytes(), 0, []
-    while at < len(data):
-        end = at + LENGTH.size + LENGTH.unpack_from(data, at)[0]
-        frames.append(data[at:end])
-        at = end
+    data, start, frames = (FIXTURES / "hot-restart-e83b7b3.frames").read_bytes(), 0, []
+    while start < len(data):
+        end = start + LENGTH.size + LENGTH.unpack_from(data, start)[0]
+        frames.append(data[start:end])
+        start = end
     return frames
 
 
-def unpacked(frame):
+def unpack(frame):
     return msgpack.unpackb(frame[LENGTH.size :], strict_map_key=False)
 
 
 class EarlierProcess:
-    """Plays the recorded frames to the process that asks, with descriptors of this test's own sockets."""
+    """Sends the recorded frames to the process that requests a handover, with sockets opened here."""
 
     def __init__(self, path, journal):
         self.journal = journal
@@ -210,19 +216,19 @@
         self.clients, self.accepted = pairs, [self.listener.accept()[0] for _ in pairs]
         for sock in (self.server, *self.clients):
             sock.setblocking(False)
-        self.asked, self.owned = [], asyncio.Event()
+        self.received_frames, self.ownership_taken = [], asyncio.Event()
 
-    async def play(self):
+    async def hand_over(self):
         loop = asyncio.get_running_loop()
         channel, _ = await loop.sock_accept(self.server)
-        self.asked.append(unpacked(await loop.sock_recv(channel, 1000)))
+        self.received_frames.append(unpack(await loop.sock_recv(channel, 1000)))
         state, clients, end, *self.reports = recorded_frames()
         socket.send_fds(channel, [state], [self.listener.fileno()])
         socket.send_fds(channel, [clients], [s.fileno() for s in self.accepted])
         channel.send(end)
         self.journal.close()
-        self.asked.append(unpacked(await loop.sock_recv(channel, 1000)))
-        self.owned.set()
+        self.received_frames.append(unpack(await loop.sock_recv(channel, 1000)))
+        self.ownership_taken.set()
         self.channel = channel
 
     def close(self):
@@ -230,36 +236,42 @@
             sock.close()
 
 
-def journal_of_the_earlier_process(folder, now):
+def create_journal_of_the_earlier_process(folder, now):
     journal = Journal(folder, 3_000_000, 8.0).acquire()
-    for number, ident, cls, dest, key in (
+    for number, message_id, class_index, destination, idempotency_key in (
         (3, "unsafe-out", 2, 7, ""),
         (4, "waiting", 1, 8, "k8"),
         (5, "batch-out", 0, 9, ""),
     ):
-        journal.accept(AcceptedMessage(number, ident, cls, 0, dest, key, now + 60, False, b"hello"))
+        journal.accept(
+            AcceptedMessage(
+                number, message_id, class_index, 0, destination, idempotency_key, now + 60, False, b"hello"
+            )
+        )
     journal.record_attempt([3], now, 0)
     journal.record_attempt([5], now, 0)
     return journal
 
 
-def test_hot_restart_takes_over_all_state_of_an_earlier_build(tmp_path, monkeypatch):
-    state_frame, clients_frame, _, *ended = map(unpacked, recorded_frames())
-    given = state_frame[1]
+def test_hot_restart_imports_the_complete_state_of_the_earlier_build(tmp_path, monkeypatch):
+    state_frame, clients_frame, _, *ended = map(unpack, recorded_frames())
+    recorded_state = state_frame[1]
     assert [frame[0] for frame in ended] == ["ended", "ended"]
 
     async def run():
         async with Fleet(tmp_path) as fleet:
-            fleet.discovery.targets = {target["uid"]: target for target in given["targets"]}
+            fleet.discovery.targets = {target["uid"]: target for target in recorded_state["targets"]}
             monkeypatch.setattr(clock, "monotonic_us", lambda: 342_400_000)
             loop, path = asyncio.get_running_loop(), tmp_path / "restart.sock"
-            earlier = EarlierProcess(path, journal_of_the_earlier_process(tmp_path / "state", time.time()))
-            playing = asyncio.ensure_future(earlier.play())
+            earlier = EarlierProcess(
+                path, create_journal_of_the_earlier_process(tmp_path / "state", time.time())
+            )
+            handover = asyncio.ensure_future(earlier.hand_over())
             fleet.relay = new = RelayServer(loop, load_configuration(fleet.env()))
             new.prepare()
             await bounded(new_process.take_over(loop, new, path))
-            await bounded(playing)
-            assert earlier.asked == [["take", 3], ["owned"]]
+            await bounded(handover)
+            assert earlier.received_frames == [["take", 3], ["owned"]]
             policy = new.policy.state
             assert {m.id: (m.attempts, m.in_flight) for m in policy.messages.values()} == {
                 3: (1, 1),
@@ -274,13 +286,13 @@
             )
             assert new.retry_after.export_waits() == [(RetryAfterScope(8), 372_336_378)]
             assert new.policy.endpoints_out_of_rotation() == [3, 4, 5]
-            # What it would hand on now is what it was handed, and so are the requests of its clients.
+            # The state and the clients' requests that it would export now are those that it imported.
             states = [client.export_state() for client in new.clients.connections]
             assert states == clients_frame[1]
             exported = json.loads(json.dumps(capture(policy).to_wire()))
-            assert exported == json.loads(json.dumps(given["brain"]))
-            assert list(capture(policy).to_wire()) == list(given["brain"])
-            # One client goes on with the request that it had begun; the outcomes of the calls are heeded.
+            assert exported == json.loads(json.dumps(recorded_state["brain"]))
+            assert list(capture(policy).to_wire()) == list(recorded_state["brain"])
+            # A client completes the request that it had begun, and the outcomes of the calls are processed.
             rest = Client.message("half", dest=8)[60:]
             await loop.sock_sendall(earlier.clients[1], rest)
             assert await bounded(loop.sock_recv(earlier.clients[1], 100)) == b"+OK\r\n"
@@ -296,40 +308,42 @@
 
 
 def test_hot_restart_exports_the_frames_of_the_earlier_build(tmp_path, monkeypatch):
-    """The state is taken from the recording and handed on again: the frames are the same to the byte."""
+    """A process imports the recorded state and exports it again: the frames are the same byte for byte."""
     state_frame, clients_frame, end_frame, *_ = recorded_frames()
 
     async def run():
         async with Fleet(tmp_path) as fleet:
-            given = unpacked(state_frame)[1]
-            fleet.discovery.targets = {target["uid"]: target for target in given["targets"]}
+            recorded_state = unpack(state_frame)[1]
+            fleet.discovery.targets = {target["uid"]: target for target in recorded_state["targets"]}
             monkeypatch.setattr(clock, "monotonic_us", lambda: 342_400_000)
             loop, path = asyncio.get_running_loop(), tmp_path / "restart.sock"
-            earlier = EarlierProcess(path, journal_of_the_earlier_process(tmp_path / "state", time.time()))
-            playing = asyncio.ensure_future(earlier.play())
+            earlier = EarlierProcess(
+                path, create_journal_of_the_earlier_process(tmp_path / "state", time.time())
+            )
+            handover = asyncio.ensure_future(earlier.hand_over())
             fleet.relay = new = RelayServer(loop, load_configuration(fleet.env()))
-            new.watch.start = lambda: None  # a later list would bring the ports of this test
+            new.watch.start = lambda: None  # its list would replace the recorded endpoints
             new.prepare()
             await bounded(new_process.take_over(loop, new, path))
-            await bounded(playing)
-            predecessor = old_process.HotRestartListener(loop, new.transfer, tmp_path / "second.sock")
-            predecessor.listen()
-            third = socket.socket(socket.AF_UNIX)
-            third.connect(str(tmp_path / "second.sock"))
-            third.setblocking(False)
+            await bounded(handover)
+            exporter = old_process.HotRestartListener(loop, new.transfer, tmp_path / "second.sock")
+            exporter.listen()
+            importer = socket.socket(socket.AF_UNIX)
+            importer.connect(str(tmp_path / "second.sock"))
+            importer.setblocking(False)
             request = msgpack.packb(["take", 3])
-            third.send(LENGTH.pack(len(request)) + request)
-            expected, got = state_frame + clients_frame + end_frame, b""
-            while len(got) < len(expected):
-                got += await bounded(loop.sock_recv(third, 1 << 16))
-            assert got == expected
-            third.close()
-            predecessor.close()
+            importer.send(LENGTH.pack(len(request)) + request)
+            expected, received = state_frame + clients_frame + end_frame, b""
+            while len(received) < len(expected):
+                received += await bounded(loop.sock_recv(importer, 1 << 16))
+            assert received == expected
+            importer.close()
+            exporter.close()
             earlier.close()
 
     asyncio.run(run())
 
 
-def test_hot_restart_address_is_that_of_the_earlier_build():
+def test_hot_restart_socket_path_is_that_of_the_earlier_build():
     folder = pathlib.Path("/var/lib/relay")
     assert channel.socket_path({"TMPDIR": "/run"}, folder) == pathlib.Path("/run/hopmill-043d51c331fb.sock")
