--- a/message_relay/model/events.py
+++ b/message_relay/model/events.py
@@ -23,11 +23,11 @@
     endpoint: int
     destination: int  # the destination that the endpoint belongs to
     state: EndpointState
-    # Advertised limit of all instances together, in calls a second; 0: none. The policy uses it only if
+    # Advertised limit of all instances together, in calls per second; 0: none. The policy uses it only if
     # Settings.rate_limits_advertised is set.
     rate_limit_per_s: float = 0.0
     type_index: int = 0  # index of the destination's type in Settings.destination_types
-    zone: int = 0  # index of the endpoint's zone, also in Settings.zone_costs
+    zone: int = 0  # index of the zone, as in Settings.zone_costs
 
 
 @dataclass(frozen=True, slots=True)
--- a/message_relay/simulator_adapter/frames.py
+++ b/message_relay/simulator_adapter/frames.py
@@ -27,7 +27,7 @@
 MAX_U32 = 0xFFFFFFFF
 MESSAGE_FLAG_RESUBMITTED = 2  # bit in the flags of a MESSAGE_SUBMITTED record
 
-# Codes of an attempt's or a health check's result.
+# Result codes of ATTEMPT_ENDED and HEALTH_CHECK records.
 RESULTS = {
     200: AttemptResult.OK,
     408: AttemptResult.TIMEOUT,
@@ -38,7 +38,7 @@
     520: AttemptResult.RESET,
     521: AttemptResult.CONNECT_FAILED,
 }
-# Codes from 0, in this order.
+# The code of each is its position, from 0.
 LIST_FORMS = dict(
     enumerate(
         (EndpointListForm.DELTA, EndpointListForm.COMPLETE, EndpointListForm.CACHED, EndpointListForm.FAILED)
