--- a/message_relay/server/hot_restart/state_transfer.py
+++ b/message_relay/server/hot_restart/state_transfer.py
@@ -200,7 +200,7 @@
         if self._observer is not None:
             self._observer.deferred.clear()
         server.answers.stop_all_deadlines()
-        server.journal.forget_messages()
+        server.journal.drop_messages()
         server.watch.stop()
         server.notifier.stop()
         server.clients.stop_listening()
--- a/message_relay/server/journal/errors.py
+++ b/message_relay/server/journal/errors.py
@@ -1,13 +1,13 @@
-"""Errors raised by the journal. All are `OSError`s, as are the failures of the file system itself."""
+"""Errors raised by the journal; all are subclasses of `OSError`, like the errors of the file system."""
 
 
 class JournalError(OSError):
-    """Base class of the journal's errors; raised itself if this process does not own the journal."""
+    """Base class of the journal's errors; raised directly if this process does not hold the journal lock."""
 
 
 class JournalFullError(JournalError):
-    """The record would need more than the disk limit allows, or the disk is full."""
+    """Raised if a record would exceed the disk limit, or if only a part of the data could be written."""
 
 
 class JournalLockedError(JournalError):
-    """Another process owns the journal, or has written to it since this process released it."""
+    """Raised if another process holds the journal lock, or changed the file after this one released it."""
--- a/message_relay/server/journal/expiring_index.py
+++ b/message_relay/server/journal/expiring_index.py
@@ -1,14 +1,14 @@
-"""An index of texts that expire."""
+"""An index of identifiers (message ids or idempotency keys) that expire."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-STORED_BYTES_PER_ENTRY = 24  # that an entry takes in a compacted file, its text not counted
+STORED_BYTES_PER_ENTRY = 24  # upper bound in a compacted file, without the identifier itself
 
 
 class ExpiringEntry(NamedTuple):
-    """What is known of one text. Times are wall clock seconds."""
+    """The time, zone and expiry of one identifier; times are in wall clock seconds."""
 
     at_s: float
     zone: int
@@ -16,52 +16,52 @@
 
 
 class ExpiringIndex:
-    """Keeps a time and a zone for each text until the text expires.
+    """Stores a time and a zone for each identifier until the identifier expires.
 
-    Texts are grouped into buckets of one second by when they expire, so that expiry never searches all of
-    them.
+    Identifiers are grouped by their expiry time into buckets of one second, so that `expire` examines only
+    the buckets that are due.
     """
 
     __slots__ = ("_buckets", "entries", "stored_bytes")
 
     def __init__(self) -> None:
         self.entries: dict[str, ExpiringEntry] = {}
-        self.stored_bytes = 0  # upper bound of what the entries take in a compacted file
+        self.stored_bytes = 0  # upper bound of the entries' size in a compacted file
         self._buckets: dict[int, list[str]] = {}
 
-    def __contains__(self, text: str) -> bool:
-        return text in self.entries
+    def __contains__(self, identifier: str) -> bool:
+        return identifier in self.entries
 
     def __len__(self) -> int:
         return len(self.entries)
 
-    def time_of(self, text: str) -> float:
-        """Return the text's time in wall clock seconds, 0 if it is not known."""
-        entry = self.entries.get(text)
+    def time_of(self, identifier: str) -> float:
+        """Return the time stored for the identifier in wall clock seconds, 0 if there is no entry."""
+        entry = self.entries.get(identifier)
         return entry.at_s if entry is not None else 0.0
 
-    def zone_of(self, text: str) -> int:
-        """Return the text's zone, -1 if it is not known."""
-        entry = self.entries.get(text)
+    def zone_of(self, identifier: str) -> int:
+        """Return the zone stored for the identifier, -1 if there is no entry or no zone in it."""
+        entry = self.entries.get(identifier)
         return entry.zone if entry is not None else -1
 
-    def add(self, text: str, at_s: float, expires_at_s: float, zone: int = -1) -> None:
-        """Add the text, or replace what is known of it. Times are wall clock seconds."""
-        if text not in self.entries:
-            self.stored_bytes += len(text) + STORED_BYTES_PER_ENTRY
-        self.entries[text] = ExpiringEntry(at_s, zone, expires_at_s)
-        self._buckets.setdefault(int(expires_at_s) + 1, []).append(text)
+    def add(self, identifier: str, at_s: float, expires_at_s: float, zone: int = -1) -> None:
+        """Add an entry for the identifier, or replace its entry; times are in wall clock seconds."""
+        if identifier not in self.entries:
+            self.stored_bytes += len(identifier) + STORED_BYTES_PER_ENTRY
+        self.entries[identifier] = ExpiringEntry(at_s, zone, expires_at_s)
+        self._buckets.setdefault(int(expires_at_s) + 1, []).append(identifier)
 
-    def remove(self, text: str) -> None:
-        """Remove the text if it is there."""
-        if self.entries.pop(text, None) is not None:
-            self.stored_bytes -= len(text) + STORED_BYTES_PER_ENTRY
+    def remove(self, identifier: str) -> None:
+        """Remove the identifier's entry if there is one."""
+        if self.entries.pop(identifier, None) is not None:
+            self.stored_bytes -= len(identifier) + STORED_BYTES_PER_ENTRY
 
     def expire(self, now_s: float) -> None:
-        """Remove the texts whose time is up; up to a second later than their expiry."""
+        """Remove the entries that have expired; an entry is removed at most one second after its expiry."""
         due = [bucket for bucket in self._buckets if bucket <= now_s]
         for bucket in due:
-            for text in self._buckets.pop(bucket):
-                entry = self.entries.get(text)  # it may have been replaced or removed meanwhile
+            for identifier in self._buckets.pop(bucket):
+                entry = self.entries.get(identifier)  # replaced or removed since it was put into the bucket?
                 if entry is not None and entry.expires_at_s <= now_s:
-                    self.remove(text)
+                    self.remove(identifier)
--- a/message_relay/server/journal/file.py
+++ b/message_relay/server/journal/file.py
@@ -1,6 +1,9 @@
-"""The journal's file and the lock that says which process owns it.
+"""The journal's file, and the lock that decides which process may write to it.
 
-Data is written with `os.write`, without fsync: it outlasts SIGKILL, not a crash of the machine.
+The owner of the journal is the process that holds an exclusive `flock` on `owner.lock`. The kernel releases
+the lock when the owner exits, however it exits.
+
+Data is written with `os.write`, without fsync: it survives SIGKILL, but not a crash of the machine.
 """
 
 from __future__ import annotations
@@ -19,20 +22,20 @@
 REPLACEMENT_NAME = "messages.journal.new"
 LOCK_NAME = "owner.lock"
 FILE_MODE = 0o600
-BLOCK_BYTES = 512  # the disk limit counts files in whole blocks
-UNSUPPORTED_LOCK_ERRORS = (errno.ENOSYS, errno.ENOLCK, errno.EOPNOTSUPP)  # the platform has no locks
-NOT_OPEN = -1  # in place of a descriptor
+BLOCK_BYTES = 512  # the disk limit applies to file sizes rounded up to blocks
+UNSUPPORTED_LOCK_ERRORS = (errno.ENOSYS, errno.ENOLCK, errno.EOPNOTSUPP)  # no file locks on this platform
+NOT_OPEN = -1  # descriptor value while the file is not open
 
 log = logging.getLogger(__name__)
 
 
 def round_up_to_blocks(size_bytes: int) -> int:
-    """Return the bytes that a file of this size takes in whole blocks."""
+    """Return the size in bytes, rounded up to a multiple of the block size."""
     return -(-size_bytes // BLOCK_BYTES) * BLOCK_BYTES
 
 
 class JournalFile:
-    """The file that one process at a time appends to: the one that holds the lock."""
+    """The journal's file; only the process that holds the lock appends to it."""
 
     def __init__(self, folder: Path) -> None:
         self.size_bytes = 0
@@ -43,9 +46,11 @@
         self._released_identity = (-1, -1)  # inode and size when this process released the file
 
     def acquire(self) -> list[StoredValues]:
-        """Lock and open the file, cut off a torn tail, and return the values of its records.
+        """Lock and open the file, and return the stored values of its records.
 
-        Raises `JournalLockedError` if another process has the lock, `OSError` if the file is not accessible.
+        An incomplete record at the end, which an interrupted write left behind, is removed from the file.
+        Raises `JournalLockedError` if another process holds the lock, `OSError` if the file is not
+        accessible.
         """
         self._acquire_lock()
         self._replacement_path.unlink(missing_ok=True)
@@ -53,15 +58,17 @@
         data = self._path.read_bytes()
         records, end = decode_frames(data)
         if end < len(data):
-            log.warning("journal: torn tail cut off bytes=%d", len(data) - end)
+            log.warning("journal: incomplete record at the end removed, bytes=%d", len(data) - end)
             os.ftruncate(self._descriptor, end)
         self.size_bytes = end
         return records
 
     def reacquire(self) -> None:
-        """Lock and open the file again, provided that it is as this process released it.
+        """Lock and open the file again if it has not changed since this process released it.
 
-        Raises `JournalLockedError` if another process has the lock or has written to the file.
+        The state that this process still has in memory then matches the file. Raises `JournalLockedError` if
+        another process holds the lock or has changed the file (inode or size differ); the lock is then not
+        held.
         """
         self._acquire_lock()
         with contextlib.suppress(OSError):
@@ -69,10 +76,10 @@
             if self._identity() == self._released_identity:
                 return
         self.close()
-        raise JournalLockedError("another process has written to the journal")
+        raise JournalLockedError(f"journal file {str(self._path)!r} changed since this process released it")
 
     def close(self) -> None:
-        """Release the file and the lock: from here on another process may own them."""
+        """Close the file and release the lock, so that another process can acquire it."""
         if self._descriptor != NOT_OPEN:
             self._released_identity = self._identity()
             os.close(self._descriptor)
@@ -81,12 +88,12 @@
         self._descriptor = self._lock_descriptor = NOT_OPEN
 
     def require_owned(self) -> None:
-        """Raise `JournalError` unless this process owns the file."""
+        """Raise `JournalError` unless this process holds the lock and has the file open."""
         if self._descriptor == NOT_OPEN:
-            raise JournalError("this process does not own the journal")
+            raise JournalError(f"this process does not hold the journal lock {str(self._lock_path)!r}")
 
     def append(self, data: bytes) -> None:
-        """Append data, or leave the file as it was.
+        """Append data; if that fails, truncate the file to its previous size.
 
         Raises `JournalFullError` if only a part could be written, `OSError` if the write failed.
         """
@@ -95,24 +102,25 @@
         except OSError:
             os.ftruncate(self._descriptor, self.size_bytes)
             raise
-        if written != len(data):  # a part of a record would hide all records after it
+        if written != len(data):  # decoding stops at an incomplete record: later ones would never be read
             os.ftruncate(self._descriptor, self.size_bytes)
-            raise JournalFullError("the disk is full")
+            raise JournalFullError(f"no space left on the disk: wrote {written} of {len(data)} bytes")
         self.size_bytes += written
 
     def replace(self, data: bytes) -> None:
-        """Put a new file with this data in the file's place; if that fails, the old file stays in use.
+        """Replace the file atomically by a new one with this data.
 
-        Raises `OSError` only if the new file can't be created.
+        If writing or renaming the new file fails, the error is logged and the old file stays in use. Raises
+        `OSError` only if the new file can't be created.
         """
         flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND
         replacement = os.open(self._replacement_path, flags, FILE_MODE)
         try:
             if os.write(replacement, data) != len(data):
-                raise JournalFullError("the disk is full")
+                raise JournalFullError(f"no space left on the disk: compacted file of {len(data)} bytes")
             os.rename(self._replacement_path, self._path)
         except OSError as error:
-            log.error("journal: not compacted error=%s", error)
+            log.error("journal: compaction failed, error=%s", error)
             os.close(replacement)
             self._replacement_path.unlink(missing_ok=True)
             return
@@ -126,12 +134,12 @@
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             os.close(descriptor)
-            raise JournalLockedError("another process has the journal") from None
+            raise JournalLockedError(f"another process holds {str(self._lock_path)!r}") from None
         except OSError as error:
             if error.errno not in UNSUPPORTED_LOCK_ERRORS:
                 os.close(descriptor)
                 raise
-            log.error("journal: no locks here, so no hot restarts error=%s", error)
+            log.error("journal: file locks not supported, hot restart disabled, error=%s", error)
         self._lock_descriptor = descriptor
 
     def _identity(self) -> tuple[int, int]:
--- a/message_relay/server/journal/index.py
+++ b/message_relay/server/journal/index.py
@@ -1,4 +1,4 @@
-"""What the journal's records add up to, in memory."""
+"""The current state of the journal in memory, built by applying its records in order."""
 
 from __future__ import annotations
 
@@ -19,49 +19,53 @@
     MessagesCompleted,
 )
 
-FINISHED_ID_GRACE_S = 2.0  # how long a finished message's id stays known past the message's deadline
-KEY_GRACE_S = 2.0  # how long an idempotency key stays known past its window
-STORED_BYTES_PER_CORDON = 8  # that a cordon takes in a compacted file, its uid not counted
-STORED_BYTES_BASE = 512  # of a compacted file with nothing in it, rounded up to a block
+FINISHED_ID_GRACE_S = 2.0  # time for which a finished message's id is stored after the message's deadline
+KEY_GRACE_S = 2.0  # time for which an idempotency key is stored after its window
+STORED_BYTES_PER_CORDON = 8  # upper bound in a compacted file, without the uid itself
+STORED_BYTES_BASE = 512  # size of an empty compacted file, rounded up to a block
 
 
 class JournalIndex:
-    """Open messages, pending final answers, cordons, and what is still known of finished messages.
+    """Open messages, pending final answers, cordons, ids of finished messages, and idempotency keys.
 
-    Records are applied in the order of the file, both when they are written and when they are restored.
+    Each record is applied after it was written, and again, in the order of the file, when a restart restores
+    the journal. Both give the same state.
     """
 
     def __init__(self, key_window_s: float) -> None:
         self.messages: dict[int, AcceptedMessage] = {}
         self.numbers_by_id: dict[str, int] = {}
-        self.open_count = 0  # messages without an outcome yet
-        self.open_number_by_key: dict[str, int] = {}  # of the open messages
-        self.open_bytes = 0  # upper bound of what the messages take in a compacted file
-        self.last_number = 0
+        self.open_count = 0  # open messages: those without an outcome yet
+        self.open_number_by_key: dict[str, int] = {}  # open messages only
+        self.open_bytes = 0  # upper bound of the size of all `messages` in a compacted file
+        self.last_number = 0  # highest message number that was ever accepted
         self.cordoned: dict[str, None] = {}  # uids, the oldest cordon first
         self.finished_ids = ExpiringIndex()
-        self.idempotency_keys = ExpiringIndex()  # by the first attempt that was possibly applied
+        self.idempotency_keys = ExpiringIndex()  # start and zone of the key's first possibly applied attempt
         self._key_lifetime_s = key_window_s + KEY_GRACE_S
 
     @property
     def live_bytes(self) -> int:
-        """Upper bound of the bytes that a compacted file would take."""
-        cordons = sum(len(uid) + STORED_BYTES_PER_CORDON for uid in self.cordoned)
-        known = self.finished_ids.stored_bytes + self.idempotency_keys.stored_bytes
-        return self.open_bytes + known + cordons + STORED_BYTES_BASE
+        """Upper bound of the size of a compacted file in bytes."""
+        cordon_bytes = sum(len(uid) + STORED_BYTES_PER_CORDON for uid in self.cordoned)
+        identifier_bytes = self.finished_ids.stored_bytes + self.idempotency_keys.stored_bytes
+        return self.open_bytes + identifier_bytes + cordon_bytes + STORED_BYTES_BASE
 
     def key_applied_at_s(self, key: str) -> float:
-        """Return when the key's first possibly applied attempt started, 0 if none is known."""
+        """Return the start of the key's first possibly applied attempt, 0 if none is stored or it expired.
+
+        The time is in wall clock seconds.
+        """
         at_s = self.idempotency_keys.time_of(key)
         return at_s if time.time() - at_s < self._key_lifetime_s else 0.0
 
     def expire(self, now_s: float) -> None:
-        """Remove the ids and keys whose time is up."""
+        """Remove the finished ids and the idempotency keys that have expired."""
         self.finished_ids.expire(now_s)
         self.idempotency_keys.expire(now_s)
 
     def apply(self, record: JournalRecord) -> None:
-        """Apply one record. Records of messages that are not known any more change nothing."""
+        """Apply one record; a record about a message that is no longer stored has no effect."""
         match record:
             case MessageAccepted():
                 self._add_message(record.message)
@@ -81,22 +85,27 @@
                 self._restore_summary(record)
 
     def mark_final(self, message: AcceptedMessage, status: FinalStatus, retry_after_ms: int) -> None:
-        """Give the message its final answer; only that is pending from now on, so the body is dropped."""
+        """Store the message's final answer and remove its body, which is not sent any more."""
         self._close(message)
         self.open_bytes -= len(message.body)
         message.final_status = status
         message.retry_after_ms = retry_after_ms
         message.body = b""
 
-    def forget_messages(self) -> None:
-        """Drop the messages, as another process owns them now. What is known of ids and keys stays."""
+    def drop_messages(self) -> None:
+        """Remove all messages from memory after another process became the owner; other state stays."""
         self.messages.clear()
         self.open_count = 0
 
     def compacted_records(self) -> Iterator[JournalRecord]:
-        """Yield the records that a compacted file consists of, in their order."""
-        finished_ids = {text: entry.expires_at_s for text, entry in self.finished_ids.entries.items()}
-        keys = {text: (entry.at_s, entry.zone) for text, entry in self.idempotency_keys.entries.items()}
+        """Yield the records of a compacted file in their order: summary, cordons, messages."""
+        finished_ids = {
+            identifier: entry.expires_at_s for identifier, entry in self.finished_ids.entries.items()
+        }
+        keys = {
+            identifier: (entry.at_s, entry.zone)
+            for identifier, entry in self.idempotency_keys.entries.items()
+        }
         yield JournalSummary(self.last_number, finished_ids, keys)
         for uid in self.cordoned:
             yield EndpointCordonChanged(uid, True)
@@ -119,14 +128,14 @@
             message = self.messages.get(number)
             if message is None:
                 continue
-            # Both are derived from both attempts: read them before either is changed.
-            earlier = message.possibly_applied_at_s, message.possibly_applied_zone
-            message.earlier_attempt_at_s, message.earlier_attempt_zone = earlier
+            # Both properties depend on the earlier and the latest attempt: read them before either changes.
+            first_possibly_applied = message.possibly_applied_at_s, message.possibly_applied_zone
+            message.earlier_attempt_at_s, message.earlier_attempt_zone = first_possibly_applied
             message.attempts += 1
             message.latest_attempt_at_s = record.at_s
             message.latest_attempt_zone = record.zone
             if message.idempotency_key:
-                self._remember_key(
+                self._add_key(
                     message.idempotency_key, message.possibly_applied_at_s, message.possibly_applied_zone
                 )
 
@@ -149,11 +158,11 @@
             self.finished_ids.add(message.id, record.at_s, message.deadline_s + FINISHED_ID_GRACE_S)
 
     def _close(self, message: AcceptedMessage) -> None:
-        """Count the message as open no more; to be called before its final status is set."""
+        """Remove the message from the open messages; must be called before its final status is set."""
         if message.final_status is not None:
             return
         self.open_count -= 1
-        # A newer message may have taken the key over.
+        # A newer message with the same key may have replaced this one in the mapping.
         if self.open_number_by_key.get(message.idempotency_key) == message.number:
             del self.open_number_by_key[message.idempotency_key]
 
@@ -168,8 +177,8 @@
         for message_id, expires_at_s in record.finished_ids.items():
             self.finished_ids.add(message_id, expires_at_s, expires_at_s)
         for key, (at_s, zone) in record.idempotency_keys.items():
-            self._remember_key(key, at_s, zone)
+            self._add_key(key, at_s, zone)
 
-    def _remember_key(self, key: str, at_s: float, zone: int) -> None:
+    def _add_key(self, key: str, at_s: float, zone: int) -> None:
         if not self.key_applied_at_s(key):
             self.idempotency_keys.add(key, at_s, at_s + self._key_lifetime_s, zone)
--- a/message_relay/server/journal/journal.py
+++ b/message_relay/server/journal/journal.py
@@ -1,7 +1,21 @@
-"""The journal of accepted messages: an append-only file, and in memory what its records add up to.
+"""The journal of accepted messages: an append-only file, and the state in memory that its records give.
 
-Each record is written before the effect that it records, and applied in memory after it is written. A restart
-applies the same records. Compaction replaces the file by one that holds only what is still needed.
+A record is written to the file first and applied in memory afterwards. A restart reads the file and applies
+the same records. The records are written at these points:
+
+- `MessageAccepted` before the client receives +OK;
+- `AttemptStarted` before the first byte of an attempt is written to an endpoint;
+- `AttemptNotApplied` when the outcome of an attempt shows that the endpoint did not apply the message;
+- `FinalAnswerRecorded` before the final answer is sent to discovery;
+- `MessagesCompleted` when a response ended the message, or discovery accepted its final answer;
+- `EndpointCordonChanged` when operators cordon an endpoint or remove its cordon;
+- `JournalSummary` as the first record of a compacted file.
+
+At a restart, an attempt is possibly applied if the journal has its start but no outcome: neither
+`AttemptNotApplied` nor `MessagesCompleted` follows. The endpoint may or may not have executed it, so the
+policy sends the message again only if a repetition is safe.
+
+Compaction replaces the file by one that holds only the current state.
 """
 
 from __future__ import annotations
@@ -29,92 +43,92 @@
     encode_frame,
 )
 
-SPARE_SHARE = 1 / 8  # of the limit is kept free: near the limit every record would need a compaction
-EXPIRY_INTERVAL_S = 1.0  # at least this long between two expiries of ids and keys
-MIN_COMPACTED_BYTES = 1 << 17  # a file under this size is not worth compacting
-COMPACTION_FACTOR = 4  # a file this many times as large as what is still needed is compacted
+HEADROOM_SHARE = 1 / 8  # share of the limit left free: close to the limit each record would need a compaction
+EXPIRY_INTERVAL_S = 1.0  # minimum interval between two expiries of ids and keys
+MIN_COMPACTED_BYTES = 1 << 17  # smaller files are compacted only if the disk limit requires it
+COMPACTION_FACTOR = 4  # a file larger than this multiple of its live data is compacted
 
 
 class Journal:
-    """The messages that the relay has accepted, and what is still known of those that are finished.
+    """Records accepted messages until they are completed, and ids, keys and cordons beyond that.
 
-    One process writes to it at a time: the one that holds the lock. Methods that record something raise
-    `JournalFullError` if the limit or the disk allows no more, `JournalError` if this process does not own
-    the journal, and `OSError` if the write failed; nothing is recorded then.
+    Only the owner, the process that holds the journal lock, writes to the file. Methods that write a record
+    raise `JournalFullError` if the disk limit is reached or the disk is full, `JournalError` if this process
+    is not the owner, and `OSError` if the write failed. The record is then neither stored nor applied.
     """
 
     def __init__(self, folder: Path, limit_bytes: int, key_window_s: float = 0.0) -> None:
         self.limit_bytes = limit_bytes
         self._file = JournalFile(folder)
         self._index = JournalIndex(key_window_s)
-        self._expired_at_s = 0.0
+        self._last_expiry_at_s = 0.0
 
-    # What the records add up to, to be read only.
+    # Current state, read-only for callers
 
     @property
     def messages(self) -> dict[int, AcceptedMessage]:
-        """The messages for which an outcome or a notice is owed, by their numbers."""
+        """Messages without an outcome, or whose final answer discovery has not accepted, by their numbers."""
         return self._index.messages
 
     @property
     def numbers_by_id(self) -> dict[str, int]:
-        """The numbers of `messages` by their ids."""
+        """Numbers of `messages` by their ids."""
         return self._index.numbers_by_id
 
     @property
     def open_count(self) -> int:
-        """How many of `messages` have no outcome yet."""
+        """Number of open messages: those of `messages` without an outcome yet."""
         return self._index.open_count
 
     @property
     def open_number_by_key(self) -> dict[str, int]:
-        """The numbers of the messages without an outcome, by their idempotency keys."""
+        """Numbers of the open messages by their idempotency keys."""
         return self._index.open_number_by_key
 
     @property
     def cordoned(self) -> dict[str, None]:
-        """The uids of cordoned endpoints, the oldest cordon first."""
+        """Uids of the cordoned endpoints, the oldest cordon first."""
         return self._index.cordoned
 
     @property
     def finished_ids(self) -> ExpiringIndex:
-        """The ids of finished messages, for as long as they may be submitted again."""
+        """Ids of completed messages, stored until clients no longer submit them again."""
         return self._index.finished_ids
 
     @property
     def idempotency_keys(self) -> ExpiringIndex:
-        """The keys with an attempt that was possibly applied, by the start of the first such attempt."""
+        """Idempotency keys with a possibly applied attempt; the time and zone are those of the first one."""
         return self._index.idempotency_keys
 
     @property
     def last_number(self) -> int:
-        """The highest message number so far."""
+        """Highest message number that was ever accepted."""
         return self._index.last_number
 
     @property
     def open_bytes(self) -> int:
-        """Upper bound of the bytes that `messages` take in a compacted file."""
+        """Upper bound of the size of `messages` in a compacted file, in bytes."""
         return self._index.open_bytes
 
     @property
     def live_bytes(self) -> int:
-        """Upper bound of the bytes that a compacted file would take."""
+        """Upper bound of the size of a compacted file, in bytes."""
         return self._index.live_bytes
 
     def key_applied_at_s(self, key: str) -> float:
-        """Return when the key's first possibly applied attempt started, 0 if none is known."""
+        """Return the start of the key's first possibly applied attempt in wall clock seconds, 0 if none."""
         return self._index.key_applied_at_s(key)
 
     def key_applied_zone(self, key: str) -> int:
-        """Return the zone of the key's first possibly applied attempt, -1 if it is not known."""
+        """Return the zone of the key's first possibly applied attempt, -1 if no zone is stored."""
         return self._index.idempotency_keys.zone_of(key)
 
     # Ownership
 
     def acquire(self) -> Journal:
-        """Become the owner and restore what the file holds; returns the journal itself.
+        """Acquire the lock, restore the state from the file, and return the journal itself.
 
-        Raises `JournalLockedError` if another process is the owner.
+        Raises `JournalLockedError` if another process holds the lock.
         """
         for values in self._file.acquire():
             record = decode_record(values)
@@ -123,54 +137,60 @@
         return self
 
     def reacquire(self) -> None:
-        """Become the owner again, with what is in memory.
+        """Acquire the lock again after `close()` and continue with the state in memory.
 
-        Raises `JournalLockedError` if another process is the owner or has written to the file.
+        Raises `JournalLockedError` if another process holds the lock or has changed the file.
         """
         self._file.reacquire()
 
     def close(self) -> None:
-        """Release the journal: from here on another process may own it."""
+        """Close the file and release the lock; the state in memory stays."""
         self._file.close()
 
-    def forget_messages(self) -> None:
-        """Drop the messages from memory, as another process owns them now."""
-        self._index.forget_messages()
+    def drop_messages(self) -> None:
+        """Remove all messages from memory after another process became the owner."""
+        self._index.drop_messages()
 
     # Records
 
     def accept(self, message: AcceptedMessage) -> None:
-        """Record that the message is accepted. The journal owns the object from then on."""
-        if not self._has_room_for(message.stored_bytes):
-            raise JournalFullError(f"no room for {message.stored_bytes} bytes")
+        """Record that the message is accepted; the journal stores and updates this object from then on."""
+        if not self._fits_limit(message.stored_bytes):
+            raise JournalFullError(
+                f"disk limit: message_bytes={message.stored_bytes} live_bytes={self.live_bytes}"
+                f" limit_bytes={self.limit_bytes}"
+            )
         self._write(MessageAccepted(message))
 
     def record_attempt(self, numbers: Sequence[int], at_s: float, zone: int = UNKNOWN_ZONE) -> None:
-        """Record that an attempt of these messages is about to be written."""
+        """Record that an attempt with these messages is about to be written to an endpoint."""
         self._write(AttemptStarted(numbers, at_s, zone))
 
     def record_not_applied(self, number: int) -> None:
-        """Record that the message's latest attempt is known not to have been applied."""
+        """Record that the endpoint did not apply the message's latest attempt."""
         self._write(AttemptNotApplied(number))
 
     def record_completed(self, numbers: Sequence[int]) -> None:
-        """Record that nothing more is owed: delivered, withdrawn, or the notice was accepted."""
+        """Record that the messages are completed: by a response, or because discovery accepted the answer."""
         self._write(MessagesCompleted(numbers, time.time()))
 
     def record_final(self, number: int, status: FinalStatus, retry_after_ms: int) -> None:
-        """Record the message's final answer, which is pending until discovery accepts it."""
+        """Record the message's final answer; it is pending until discovery accepts it."""
         self._write(FinalAnswerRecorded(number, status, retry_after_ms))
 
     def record_cordon(self, uid: str, cordoned: bool) -> None:
-        """Record that operators cordoned an endpoint or lifted its cordon."""
+        """Record that operators cordoned an endpoint or removed its cordon."""
         self._write(EndpointCordonChanged(uid, cordoned))
 
     def mark_final(self, message: AcceptedMessage, status: FinalStatus, retry_after_ms: int) -> None:
-        """Give the message its outcome in memory alone: for when it could not be recorded."""
+        """Store the message's final answer in memory only, for use when it could not be recorded."""
         self._index.mark_final(message, status, retry_after_ms)
 
     def compact(self) -> None:
-        """Replace the file by one with only what is still needed, if both fit beside each other."""
+        """Replace the file by one that holds only the current state.
+
+        Both files exist until the new one is complete; nothing is done if that would exceed the disk limit.
+        """
         data = b"".join(encode_frame(record.to_stored()) for record in self._index.compacted_records())
         both_bytes = round_up_to_blocks(self._file.size_bytes) + round_up_to_blocks(len(data))
         if both_bytes <= self.limit_bytes:
@@ -183,26 +203,32 @@
         if self._needs_compaction(len(data)):
             self.compact()
         if round_up_to_blocks(self._file.size_bytes + len(data)) > self.limit_bytes:
-            raise JournalFullError("the disk limit is reached")
+            raise JournalFullError(
+                f"disk limit: record_bytes={len(data)} file_bytes={self._file.size_bytes}"
+                f" limit_bytes={self.limit_bytes}"
+            )
         self._file.append(data)
         self._index.apply(record)
 
     def _expire(self) -> None:
         now_s = time.time()
-        if now_s - self._expired_at_s > EXPIRY_INTERVAL_S:
-            self._expired_at_s = now_s
+        if now_s - self._last_expiry_at_s > EXPIRY_INTERVAL_S:
+            self._last_expiry_at_s = now_s
             self._index.expire(now_s)
 
-    def _has_room_for(self, more_bytes: int) -> bool:
-        """Whether two copies of all that is needed, and of this, would stay under the limit."""
-        two_copies = 2 * (self.live_bytes + more_bytes)
-        return round_up_to_blocks(int(two_copies + SPARE_SHARE * self.limit_bytes)) <= self.limit_bytes
+    def _fits_limit(self, additional_bytes: int) -> bool:
+        """Return whether two copies of the live data, with the additional bytes, stay within the limit.
+
+        A compaction needs both copies at once.
+        """
+        needed_bytes = 2 * (self.live_bytes + additional_bytes)
+        return round_up_to_blocks(int(needed_bytes + HEADROOM_SHARE * self.limit_bytes)) <= self.limit_bytes
 
-    def _needs_compaction(self, more_bytes: int) -> bool:
-        size_bytes = self._file.size_bytes + more_bytes
+    def _needs_compaction(self, additional_bytes: int) -> bool:
+        size_bytes = self._file.size_bytes + additional_bytes
         live_bytes = self.live_bytes
         if size_bytes > max(MIN_COMPACTED_BYTES, COMPACTION_FACTOR * live_bytes):
             return True
-        # A compacted copy must always fit beside the file.
+        # The file and its compacted copy together must stay within the limit.
         both_bytes = round_up_to_blocks(size_bytes) + round_up_to_blocks(live_bytes) + BLOCK_BYTES
         return both_bytes > self.limit_bytes
--- a/message_relay/server/journal/records.py
+++ b/message_relay/server/journal/records.py
@@ -1,7 +1,7 @@
 """The journal's records: their types, their stored form and their framing in the file.
 
-A record is stored as a MessagePack list whose first value names its type. Each list is framed by its length
-and its checksum. Lists written by older builds may have fewer values; they stay readable.
+A record is stored as a MessagePack list whose first value is its record code. Each list is framed by its
+length and its checksum. Lists written by older builds may have fewer values and are still readable.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 import msgpack
 
 FRAME_HEADER = struct.Struct(">II")  # payload length in bytes, CRC-32 of the payload
-RESERVED_BYTES_PER_MESSAGE = 160  # kept free for the message's later records
+RESERVED_BYTES_PER_MESSAGE = 160  # counted for the other fields and for the message's later records
 UNKNOWN_ZONE = -1
-ZONE_POSITION = 3  # of the zone in a stored attempt; older builds did not store it
+ZONE_POSITION = 3  # index of the zone in a stored attempt; older builds did not store a zone
 
 ACCEPTED = "take"
 ATTEMPT_STARTED = "try"
@@ -28,11 +28,11 @@
 CORDON_CHANGED = "cordon"
 SUMMARY = "known"
 
-StoredValues = list[Any]  # a record as MessagePack packs it
+StoredValues = list[Any]  # record code and values, as packed by MessagePack
 
 
 class FinalStatus(enum.Enum):
-    """The outcome that a final notice reports. The values are stored and sent."""
+    """The final answer that a notice reports to discovery; the values are stored and sent."""
 
     DEFERRED = "deferred"
     UNDELIVERABLE = "undeliverable"
@@ -40,9 +40,13 @@
 
 @dataclass(slots=True)
 class AcceptedMessage:
-    """A message for which the relay still owes an outcome, or the notice of one.
+    """A message without an outcome, or whose final answer discovery has not accepted yet.
 
-    The fields stand in the order of the file. Times are wall clock seconds, 0 if there is none.
+    An attempt is possibly applied if its start is recorded and `AttemptNotApplied` is not: the endpoint may
+    have executed it. Stored are the latest attempt and, of all attempts before it, the first possibly applied
+    one. Attempts of a previous message with the same idempotency key count as earlier attempts.
+
+    The fields are in the order of the stored values. Times are in wall clock seconds, 0 if there is none.
     """
 
     number: int
@@ -56,30 +60,30 @@
     body: bytes
     order_key: int = 0
     attempts: int = 0
-    latest_attempt_at_s: float = 0.0  # its start; 0 once it is known that it was not applied
-    earlier_attempt_at_s: float = 0.0  # start of the first of the others that was possibly applied
-    final_status: FinalStatus | None = None  # of the notice that is owed
+    latest_attempt_at_s: float = 0.0  # start; reset to 0 when it is recorded that it was not applied
+    earlier_attempt_at_s: float = 0.0  # start of the first possibly applied one before the latest
+    final_status: FinalStatus | None = None  # final answer that discovery has not accepted yet
     retry_after_ms: int = 0
     latest_attempt_zone: int = UNKNOWN_ZONE
     earlier_attempt_zone: int = UNKNOWN_ZONE
 
     @property
     def possibly_applied_at_s(self) -> float:
-        """Start of the first attempt that was possibly applied, 0 if there is none."""
+        """Start of the first possibly applied attempt, 0 if there is none."""
         return self.earlier_attempt_at_s or self.latest_attempt_at_s
 
     @property
     def possibly_applied_zone(self) -> int:
-        """Zone of the first attempt that was possibly applied, -1 if it is not known."""
+        """Zone of the first possibly applied attempt, -1 if no zone is stored."""
         return self.earlier_attempt_zone if self.earlier_attempt_at_s else self.latest_attempt_zone
 
     @property
     def stored_bytes(self) -> int:
-        """Upper bound of the bytes that the message takes in the file, its later records included."""
+        """Upper bound of the message's size in the file in bytes, including its later records."""
         return len(self.body) + len(self.id) + len(self.idempotency_key) + RESERVED_BYTES_PER_MESSAGE
 
     def to_stored(self) -> StoredValues:
-        """Return the values in the order of the file."""
+        """Return the field values in their stored order."""
         return [
             self.number,
             self.id,
@@ -102,18 +106,21 @@
 
     @classmethod
     def from_stored(cls, values: Sequence[Any]) -> AcceptedMessage:
-        """Build a message from stored values; those that an older build did not store get their defaults.
+        """Build a message from stored values; values that an older build did not store get their defaults.
 
-        Raises `TypeError` for too few or too many values and `ValueError` for an unknown final status.
+        Raises `TypeError` if there are too few or too many values, `ValueError` for an unknown final status.
         """
         message = cls(*values)
-        status: Any = message.final_status  # still the stored text
+        status: Any = message.final_status  # a string here, as stored
         message.final_status = FinalStatus(status) if status else None
         return message
 
 
 class MessageAccepted(NamedTuple):
-    """The relay has accepted a message, or holds it at the time of a compaction."""
+    """The relay accepted the message; in a compacted file, the message with its state at the compaction.
+
+    Written before the client receives +OK.
+    """
 
     message: AcceptedMessage
 
@@ -128,7 +135,10 @@
 
 
 class AttemptStarted(NamedTuple):
-    """An attempt that carries these messages is about to be written to a connection."""
+    """An attempt with these messages is about to be written to a connection.
+
+    Written before the first byte is sent. From then on the attempt is possibly applied.
+    """
 
     numbers: Sequence[int]
     at_s: float
@@ -140,13 +150,17 @@
 
     @classmethod
     def from_stored(cls, values: StoredValues) -> AttemptStarted:
-        """Build the record from its stored form; older builds stored no zone."""
+        """Build the record from its stored form; the zone is unknown if an older build did not store it."""
         zone = values[ZONE_POSITION] if len(values) > ZONE_POSITION else UNKNOWN_ZONE
         return cls(values[1], values[2], zone)
 
 
 class AttemptNotApplied(NamedTuple):
-    """The message's latest attempt is known not to have been applied."""
+    """The endpoint did not apply the message's latest attempt.
+
+    Written when the outcome of the attempt shows this. Without the record, the attempt counts as possibly
+    applied after a restart.
+    """
 
     number: int
 
@@ -161,7 +175,10 @@
 
 
 class MessagesCompleted(NamedTuple):
-    """Nothing more is owed for these messages."""
+    """The messages are completed.
+
+    Written when a response ended the message, or when discovery accepted its final answer.
+    """
 
     numbers: Sequence[int]
     at_s: float
@@ -177,7 +194,10 @@
 
 
 class FinalAnswerRecorded(NamedTuple):
-    """The message has its final answer, which discovery has not accepted yet."""
+    """The message has its final answer, which discovery has not accepted yet.
+
+    Written before the answer is sent to discovery; after a restart it is sent again.
+    """
 
     number: int
     status: FinalStatus
@@ -194,7 +214,7 @@
 
 
 class EndpointCordonChanged(NamedTuple):
-    """Operators have cordoned an endpoint or lifted its cordon."""
+    """Operators cordoned an endpoint or removed its cordon."""
 
     uid: str
     cordoned: bool
@@ -210,11 +230,11 @@
 
 
 class JournalSummary(NamedTuple):
-    """What a compacted file keeps of the messages that it does not hold any more."""
+    """Highest message number, ids of completed messages and idempotency keys; first in a compacted file."""
 
     last_number: int
-    finished_ids: dict[str, float]  # when each id expires, wall clock seconds
-    idempotency_keys: dict[str, tuple[float, int]]  # start and zone of the attempt that possibly applied it
+    finished_ids: dict[str, float]  # expiry of each id in wall clock seconds
+    idempotency_keys: dict[str, tuple[float, int]]  # start and zone of the first possibly applied attempt
 
     def to_stored(self) -> StoredValues:
         """Return the record's stored form."""
@@ -222,7 +242,7 @@
 
     @classmethod
     def from_stored(cls, values: StoredValues) -> JournalSummary:
-        """Build the record from its stored form; older builds stored a key's time alone."""
+        """Build the record from its stored form; zones that an older build did not store are unknown."""
         keys: dict[str, tuple[float, int]] = {}
         for key, stored in values[3].items():
             if isinstance(stored, list):
@@ -255,7 +275,7 @@
 
 
 def decode_record(values: StoredValues) -> JournalRecord | None:
-    """Return the record that the stored values stand for, None for a type that this build does not know."""
+    """Return the record that the values were stored from, None if this build does not define its code."""
     decoder = DECODERS.get(values[0])
     return decoder(values) if decoder is not None else None
 
@@ -267,9 +287,9 @@
 
 
 def decode_frames(data: bytes) -> tuple[list[StoredValues], int]:
-    """Return the values of the complete records at the start of data, and the offset where they end.
+    """Return the values of the valid records at the start of the data, and the offset where they end.
 
-    Decoding stops at the first frame that is torn or whose checksum is wrong.
+    Decoding stops at the first frame that is incomplete or has a wrong checksum.
     """
     records: list[StoredValues] = []
     offset = 0
--- a/tests/test_hot_restart_processes.py
+++ b/tests/test_hot_restart_processes.py
@@ -96,14 +96,14 @@
 
 
 @pytest.mark.parametrize("code", [errno.ENOSYS, errno.ENOLCK, errno.EOPNOTSUPP])
-def test_where_there_are_no_locks_the_journal_is_used_without(tmp_path, monkeypatch, caplog, code):
+def test_without_file_locks_the_journal_is_used_unlocked(tmp_path, monkeypatch, caplog, code):
     def refuse(fd, how):
         raise OSError(code, "refused")
 
     monkeypatch.setattr(fcntl, "flock", refuse)
     journal = Journal(tmp_path, 1_000_000, 5.0)
     journal.acquire()
-    assert journal.messages == {} and "no locks here" in caplog.text
+    assert journal.messages == {} and "file locks not supported, hot restart disabled" in caplog.text
     journal.close()
 
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -7,7 +7,7 @@
 from message_relay.server.journal.records import MessageAccepted, encode_frame
 
 
-def test_a_journal_that_tells_no_zone_is_read(tmp_path):
+def test_a_journal_without_zones_is_read(tmp_path):
     message = AcceptedMessage(1, "m", 1, 0, 7, "k", time.time() + 9, False, b"x")
     (tmp_path / "messages.journal").write_bytes(
         encode_frame(["known", 0, {}, {"old": time.time()}])
@@ -23,8 +23,8 @@
 def test_compaction_keeps_what_is_open_and_stays_under_the_limit(tmp_path):
     limit = 60_000
     journal = Journal(tmp_path, limit).acquire()
-    kept = AcceptedMessage(1, "keep", 0, 0, 7, "k", time.time() + 9, False, b"body")
-    journal.accept(kept)
+    open_message = AcceptedMessage(1, "keep", 0, 0, 7, "k", time.time() + 9, False, b"body")
+    journal.accept(open_message)
     journal.record_attempt([1], 123.0)
     for n in range(2, 1500):
         journal.accept(AcceptedMessage(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x" * 300))
@@ -34,35 +34,40 @@
         journal.finished_ids.expire(time.time() + 60)
         assert sum(-(-f.stat().st_size // 512) * 512 for f in tmp_path.iterdir()) <= limit
     journal.close()
-    again = Journal(tmp_path, limit).acquire()
-    assert (again.messages[1].id, again.messages[1].attempts, again.messages[1].possibly_applied_at_s) == (
+    restored = Journal(tmp_path, limit).acquire()
+    assert (
+        restored.messages[1].id,
+        restored.messages[1].attempts,
+        restored.messages[1].possibly_applied_at_s,
+    ) == (
         "keep",
         1,
         123.0,
     )
-    assert list(again.messages) == [1] and again.last_number == 1499
-    again.close()
+    assert list(restored.messages) == [1] and restored.last_number == 1499
+    restored.close()
 
 
-def test_a_record_with_a_wrong_checksum_ends_the_journal(tmp_path):
-    good = encode_frame(["known", 5, {}, {}])
+def test_records_after_one_with_a_wrong_checksum_are_dropped(tmp_path):
+    valid_record = encode_frame(["known", 5, {}, {}])
     path = tmp_path / "messages.journal"
-    path.write_bytes(good + good[:-1] + b"\xff" + good)
+    path.write_bytes(valid_record + valid_record[:-1] + b"\xff" + valid_record)
     journal = Journal(tmp_path, 100_000).acquire()
-    assert journal.last_number == 5 and path.stat().st_size == len(good)
+    assert journal.last_number == 5 and path.stat().st_size == len(valid_record)
     journal.close()
 
 
-def test_ids_and_keys_are_forgotten_when_their_time_is_up(tmp_path, monkeypatch):
-    # Kept for half a minute at 160 bytes each, twice, those of a few hundred messages a second filled the
-    # disk: everything was refused then, with a compaction for each try.
+def test_ids_and_keys_are_removed_when_they_expire(tmp_path, monkeypatch):
+    # Ids and keys that are stored too long exhaust the disk limit: stored for 30 s at 160 bytes each, and
+    # counted twice, those of a few hundred messages a second did. Every message was then rejected, and each
+    # attempt to accept one compacted the journal.
     now = [1000.0]
     monkeypatch.setattr("time.time", lambda: now[0])
     journal = Journal(tmp_path, 1_000_000, key_window_s=12.0).acquire()
     compactions = []
     compact = journal.compact
     monkeypatch.setattr(journal, "compact", lambda: (compactions.append(1), compact()))
-    for n in range(1, 12001):  # 300 a second for 40 s
+    for n in range(1, 12001):  # 300 messages a second for 40 s
         now[0] += 1 / 300
         journal.accept(AcceptedMessage(n, f"{n:016x}", 1, 0, 7, f"{n:016x}", now[0] + 12, False, b"x" * 200))
         journal.record_attempt([n], now[0])
