--- a/message_relay/server/hot_restart/frames.py
+++ b/message_relay/server/hot_restart/frames.py
@@ -1,6 +1,6 @@
-"""The frames of the hot restart protocol: lists of values, the first of which names the kind.
+"""The frames of the hot restart protocol: lists of values, of which the first is the frame name.
 
-The names and the order of the values are those of version 3 and stay as they are.
+The names and the order of the values are fixed in version 3 of the protocol.
 """
 
 from __future__ import annotations
@@ -26,79 +26,82 @@
 
 
 class HandoverRequested(NamedTuple):
-    """The new process asks for everything."""
+    """The new process requests a handover. The old process holds the journal lock."""
 
     version: int = VERSION
 
     def encode(self) -> list[Any]:
-        """The values that are sent."""
+        """Return the values to send, with the frame name first."""
         return ["take", self.version]
 
 
 class HandoverRejected(NamedTuple):
-    """The old process keeps serving."""
+    """The old process rejects the request: it keeps the journal lock and serves on."""
 
     reason: str
 
     def encode(self) -> list[Any]:
-        """The values that are sent."""
+        """Return the values to send, with the frame name first."""
         return ["no", self.reason]
 
 
 class StateHandedOver(NamedTuple):
-    """The old process's state; the listening socket comes with it."""
+    """The old process's state; the listening socket is sent with this frame.
+
+    The old process stopped serving and released the journal lock before it sends this frame.
+    """
 
     state: ServerSnapshot
-    descriptor_count: int  # of all frames together
+    descriptor_count: int  # in all frames of the handover together
 
     def encode(self) -> list[Any]:
-        """The values that are sent."""
+        """Return the values to send, with the frame name first."""
         return ["state", self.state.to_wire(), self.descriptor_count]
 
 
 class ClientsHandedOver(NamedTuple):
-    """Some clients' connections: what was read from each; their descriptors come with it."""
+    """The exported states of some client connections; their sockets are sent with this frame."""
 
     states: list[list[Any]]
 
     def encode(self) -> list[Any]:
-        """The values that are sent."""
+        """Return the values to send, with the frame name first."""
         return ["clients", self.states]
 
 
 class HandoverComplete:
-    """Everything has been handed over."""
+    """The last frame of the handover: the new process can acquire the journal lock now."""
 
     __slots__ = ()
 
     def encode(self) -> list[Any]:
-        """The values that are sent."""
+        """Return the values to send, with the frame name first."""
         return ["end"]
 
 
 class OwnershipTaken:
-    """The new process holds the lock."""
+    """The new process holds the journal lock and serves from now on; the old process drains."""
 
     __slots__ = ()
 
     def encode(self) -> list[Any]:
-        """The values that are sent."""
+        """Return the values to send, with the frame name first."""
         return ["owned"]
 
 
 class AttemptEndedReport(NamedTuple):
-    """An attempt of the old process has ended."""
+    """An attempt that the old process had in flight has ended."""
 
     message_number: int
     attempt: int
-    endpoint: int  # the old process's number
+    endpoint: int  # number that the old process uses
     started: bool
     on_new_connection: bool
     latency_us: int
     outcome: AttemptOutcome
 
     def encode(self) -> list[Any]:
-        """The values that are sent."""
+        """Return the values to send, with the frame name first."""
         outcome = self.outcome
         return [
             "ended",
@@ -116,41 +119,41 @@
 
     @classmethod
     def decode(cls, values: list[Any]) -> AttemptEndedReport:
-        """The reverse, without the name of the kind."""
+        """Build the frame from its values without the frame name."""
         number, attempt, endpoint, started, new, latency_us, result, ended, retry_after_us, malformed = values
         outcome = AttemptOutcome(RESULTS[result], ended, retry_after_us, malformed)
         return cls(number, attempt, endpoint, started, new, latency_us, outcome)
 
 
 class RetryAfterReport(NamedTuple):
-    """An endpoint of the old process gave a Retry-After."""
+    """An endpoint sent a Retry-After to the old process, which uses this endpoint number."""
 
     endpoint: int
     wait_us: int
 
     def encode(self) -> list[Any]:
-        """The values that are sent."""
+        """Return the values to send, with the frame name first."""
         return ["wait", self.endpoint, self.wait_us]
 
 
 class LoadReport(NamedTuple):
-    """An endpoint of the old process sent a load report."""
+    """An endpoint sent a load report to the old process, which uses this endpoint number."""
 
     endpoint: int
     values: dict[str, float]
 
     def encode(self) -> list[Any]:
-        """The values that are sent."""
+        """Return the values to send, with the frame name first."""
         return ["load", self.endpoint, self.values]
 
 
 class UnknownFrame(NamedTuple):
-    """A frame of a kind that this build does not know; it is ignored."""
+    """A frame with a name that this build does not define; it is ignored."""
 
     kind: Any
 
     def encode(self) -> list[Any]:
-        """The values that were received."""
+        """Return the frame name that was received, without its values."""
         return [self.kind]
 
 
@@ -181,7 +184,10 @@
 
 
 def decode(values: list[Any]) -> Frame:
-    """A frame from its values. LookupError, TypeError or ValueError if they are not those of its kind."""
+    """Return the frame that has these values, the frame name first.
+
+    Raises `LookupError`, `TypeError` or `ValueError` if the values do not match the frame name.
+    """
     kind, *rest = values
     decoder = _DECODERS.get(kind)
     return decoder(rest) if decoder else UnknownFrame(kind)
--- a/message_relay/server/hot_restart/new_process.py
+++ b/message_relay/server/hot_restart/new_process.py
@@ -1,4 +1,4 @@
-"""The new process's side of a hot restart: it requests a handover, or starts from the journal."""
+"""The new process's side of a hot restart: request a handover, or else start from the journal."""
 
 from __future__ import annotations
 
@@ -27,34 +27,34 @@
 from message_relay.server.hot_restart.snapshot import HandoverState, ServerSnapshot, TransferredClient
 from message_relay.server.journal import Journal, JournalLockedError
 
-LIST_TIMEOUT_S = 0.6  # time for a first word of discovery, before the old process is asked
-REQUEST_TIMEOUT_S = 2.0  # time for the old process to hand everything over
-LOCK_TIMEOUT_S = 0.3  # what was handed over is dropped if the lock is not free by then
-LOCK_RETRY_S = 0.01
-RETRY_S = 0.05  # between two tries to take over
+ENDPOINT_LIST_TIMEOUT_S = 0.6  # limit for the first endpoint list, before the handover is requested
+REQUEST_TIMEOUT_S = 2.0  # limit from the request to the complete handover
+LOCK_TIMEOUT_S = 0.3  # limit for acquiring the lock after a handover, which is dropped otherwise
+LOCK_RETRY_INTERVAL_S = 0.01
+RETRY_INTERVAL_S = 0.05  # pause before the next attempt to take over
 log = logging.getLogger(__name__)
 
 
 class HandoverTarget(Protocol):
-    """The server, as the process that takes over."""
+    """The server of the new process."""
 
     journal: Journal
 
     async def wait_for_list(self, timeout_s: float) -> None:
-        """Wait for a first word of discovery."""
+        """Wait until discovery has sent an endpoint list, or until the timeout."""
 
     async def begin_serving(self, handed_over: HandoverState | None = None) -> int:
-        """Restore and serve; returns the port."""
+        """Restore the state, start serving, and return the port; this process holds the journal lock."""
 
     def report_received(self, report: Report) -> None:
-        """What has come of a call of the old process."""
+        """Process a report about a call that the old process has in flight."""
 
     def reports_ended(self) -> None:
-        """The old process reports no more."""
+        """Treat attempts without a report as possibly applied, because the old process disconnected."""
 
 
 class HotRestartRequester:
-    """Requests the handover from the old process once."""
+    """Requests a handover from the old process once, then receives its reports."""
 
     def __init__(
         self,
@@ -64,62 +64,70 @@
         on_reports_ended: Callable[[], None],
     ) -> None:
         self.channel: Channel | None = None
-        self.owns = False
+        self.owns_journal = False
         self._loop = loop
         self._path = path
         self._on_report = on_report
         self._on_reports_ended = on_reports_ended
-        self._complete: asyncio.Future[bool] = loop.create_future()
+        self._handover_received: asyncio.Future[bool] = loop.create_future()
         self._state: ServerSnapshot | None = None
         self._client_states: list[list[Any]] = []
         self._descriptor_count = 0
 
     async def request_handover(self) -> bool:
-        """Whether everything was handed over; then the lock is about to be free."""
+        """Request the handover and return whether it was received completely.
+
+        The old process has released the journal lock then. Returns False if there is no old process, it
+        rejects the request, it disconnects, or the handover takes longer than `REQUEST_TIMEOUT_S`.
+        """
         sock = None
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
             with short_socket_name(self._path) as name:
                 sock.connect(name)
-        except OSError as error:  # there is no such socket, or the platform refuses them
+        except OSError as error:  # the socket does not exist, or the platform does not permit Unix sockets
             if sock is not None:
                 sock.close()
-            log.info("hot restart: no old process, path=%s error=%s", self._path, error)
+            log.info("hot restart: cannot connect to an old process, path=%s error=%s", self._path, error)
             return False
-        self.channel = Channel(self._loop, sock, self._received, self._lost)
+        self.channel = Channel(self._loop, sock, self._frame_received, self._disconnected)
         self.channel.send(HandoverRequested())
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_S):
-                return await self._complete
+                return await self._handover_received
         except TimeoutError:
             return False
 
-    def _received(self, frame: Frame) -> None:
-        if self.owns:
+    def _frame_received(self, frame: Frame) -> None:
+        if self.owns_journal:
             if isinstance(frame, AttemptEndedReport | RetryAfterReport | LoadReport):
                 self._on_report(frame)
         elif isinstance(frame, StateHandedOver):
             self._state, self._descriptor_count = frame.state, frame.descriptor_count
         elif isinstance(frame, ClientsHandedOver):
             self._client_states += frame.states
-        elif isinstance(frame, HandoverComplete) and not self._complete.done():
-            self._complete.set_result(self._everything_received())
+        elif isinstance(frame, HandoverComplete) and not self._handover_received.done():
+            self._handover_received.set_result(self._handover_is_complete())
         elif isinstance(frame, HandoverRejected):
             log.warning("hot restart: rejected by the old process, reason=%s", frame.reason)
-            self._lost()
+            self._disconnected()
 
-    def _everything_received(self) -> bool:
+    def _handover_is_complete(self) -> bool:
         assert self.channel is not None
         descriptors = len(self.channel.received_descriptors)
         return (
             self._state is not None and descriptors == self._descriptor_count == len(self._client_states) + 1
         )
 
-    def take_ownership(self) -> HandoverState:
-        """Say that this process holds the lock. Returns what was handed over."""
+    def confirm_ownership(self) -> HandoverState:
+        """Report to the old process that this process holds the journal lock, and return the handover.
+
+        From then on, reports of the old process are passed to `on_report`, and the caller has to close the
+        descriptors.
+        """
         assert self.channel is not None
         assert self._state is not None
-        self.owns = True
+        self.owns_journal = True
         descriptors, self.channel.received_descriptors = self.channel.received_descriptors, []
         self.channel.send(OwnershipTaken())
         listener_fd, *client_fds = descriptors
@@ -129,27 +137,28 @@
         ]
         return HandoverState(self._state, listener_fd, clients)
 
-    def _lost(self) -> None:
-        if not self._complete.done():
-            self._complete.set_result(False)
-        if self.owns:
+    def _disconnected(self) -> None:
+        if not self._handover_received.done():
+            self._handover_received.set_result(False)
+        if self.owns_journal:
             self._on_reports_ended()
 
     @property
-    def reports_over(self) -> bool:
-        """Whether the old process has closed the socket."""
+    def old_process_disconnected(self) -> bool:
+        """Whether the connection to the old process is closed, so that no more reports arrive."""
         return self.channel is None or self.channel.closed
 
     def close(self) -> None:
-        """Give up."""
+        """Close the connection; the old process serves on if ownership was not confirmed."""
         if self.channel is not None:
             self.channel.close()
 
 
 async def take_over(loop: asyncio.AbstractEventLoop, target: HandoverTarget, path: Path) -> int:
-    """Serve: with what the old process hands over, or else from the journal once that one has ended.
+    """Start serving and return the port.
 
-    Returns the port.
+    Starts from the journal if its lock is free. Otherwise a process is serving: requests a handover from
+    it, and repeats both until one succeeds. The lock is held on return.
     """
     waited_for_list = False
     while True:
@@ -157,30 +166,31 @@
             target.journal.acquire()
             return await target.begin_serving()
         if not waited_for_list:
-            await target.wait_for_list(LIST_TIMEOUT_S)
+            await target.wait_for_list(ENDPOINT_LIST_TIMEOUT_S)
             waited_for_list = True
         requester = HotRestartRequester(loop, path, target.report_received, target.reports_ended)
         try:
-            if await requester.request_handover() and await _acquire(target.journal):
-                # First of all: were it lost after a record of this process, the old one's would stand behind.
-                handed_over = requester.take_ownership()
-                log.info("hot restart: this process owns, clients=%d", len(handed_over.clients))
+            if await requester.request_handover() and await _acquire_within_timeout(target.journal):
+                # Before any record is written: an old process without the confirmation could otherwise
+                # acquire the lock again and append its records after those of this process.
+                handed_over = requester.confirm_ownership()
+                log.info("hot restart: journal acquired, clients=%d", len(handed_over.clients))
                 port = await target.begin_serving(handed_over)
-                if requester.reports_over:  # before there was anything to end
+                if requester.old_process_disconnected:  # possibly before the calls in flight were imported
                     target.reports_ended()
                 return port
         finally:
-            if not requester.owns:
+            if not requester.owns_journal:
                 requester.close()
-        await asyncio.sleep(RETRY_S)
+        await asyncio.sleep(RETRY_INTERVAL_S)
 
 
-async def _acquire(journal: Journal) -> bool:
-    for _ in range(int(LOCK_TIMEOUT_S / LOCK_RETRY_S)):
+async def _acquire_within_timeout(journal: Journal) -> bool:
+    for _ in range(int(LOCK_TIMEOUT_S / LOCK_RETRY_INTERVAL_S)):
         try:
             journal.acquire()
         except JournalLockedError:
-            await asyncio.sleep(LOCK_RETRY_S)
+            await asyncio.sleep(LOCK_RETRY_INTERVAL_S)
         else:
             return True
     return False
--- a/message_relay/server/hot_restart/old_process.py
+++ b/message_relay/server/hot_restart/old_process.py
@@ -1,4 +1,4 @@
-"""The old process's side of a hot restart: it listens for the process that is to come after."""
+"""The old process's side of a hot restart: listen for a new process and hand over to it."""
 
 from __future__ import annotations
 
@@ -27,40 +27,43 @@
 from message_relay.server.hot_restart.snapshot import VERSION, HandoverState
 from message_relay.server.journal import Journal, JournalLockedError
 
-CLIENTS_PER_FRAME = 64  # the kernel takes 253 descriptors at once
-REQUEST_TIMEOUT_S = 2.0  # one that connects and asks nothing must not keep out the next
-OWNERSHIP_TIMEOUT_S = 1.0  # the new process has so long to say that it holds the lock
+CLIENTS_PER_FRAME = 64  # the kernel's limit is 253 descriptors in one message
+REQUEST_TIMEOUT_S = 2.0  # from connect to request: a silent process must not block the next one
+OWNERSHIP_TIMEOUT_S = 1.0  # from request to the confirmation that the new process holds the lock
 BACKLOG = 4
 PEER_CREDENTIALS = struct.Struct("3i")  # process, user, group
 log = logging.getLogger(__name__)
 
 
 class HandoverSource(Protocol):
-    """The server, as the process that hands over."""
+    """The server of the old process."""
 
     journal: Journal
 
     def handover_blocked_reason(self) -> str:
-        """Why it may not hand over, empty if it may."""
+        """Return the reason that blocks a handover, empty if there is none."""
 
     def export_state(self, report: Callable[[Report], None]) -> HandoverState:
-        """Stop serving and give everything; outcomes of calls in flight are reported."""
+        """Stop serving, release the journal lock and return the state.
+
+        From then on, the outcomes of calls in flight are passed to `report`.
+        """
 
     def resume_serving(self) -> None:
-        """The new process has gone without owning: go on."""
+        """Serve on: this process holds the journal lock again."""
 
     def finish_handover(self) -> None:
-        """The new process owns."""
+        """Drain: the new process owns the journal."""
 
 
 class HotRestartListener:
-    """Listens on the Unix socket and hands over to one process at a time."""
+    """Listens on the Unix socket and hands over to at most one process at a time."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, source: HandoverSource, path: Path) -> None:
         self.sock: socket.socket | None = None
         self.channel: Channel | None = None
-        self.exported = self.new_process_owns = False
-        self.unsent_reports: list[Report] = []  # from before the new process owned
+        self.state_exported = self.new_process_owns_journal = False
+        self.unsent_reports: list[Report] = []  # held back until the new process owns the journal
         self._loop = loop
         self._source = source
         self._path = path
@@ -68,7 +71,11 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def listen(self) -> None:
-        """Listen. A socket that is left there is of a process that owns no more, or was killed."""
+        """Listen on the Unix socket; if that fails, log the error and serve without hot restarts.
+
+        A socket file that exists already is replaced: it belongs to a process that does not hold the journal
+        lock any more.
+        """
         try:
             with contextlib.suppress(FileNotFoundError):
                 if stat.S_ISSOCK(os.lstat(self._path).st_mode):
@@ -81,7 +88,7 @@
             self._socket_identity = info.st_dev, info.st_ino
             self.sock.listen(BACKLOG)
             self.sock.setblocking(False)
-        except OSError as error:  # it serves all the same: a hot restart is then a cold one
+        except OSError as error:  # the next process then starts from the journal after this one has ended
             log.error("hot restart: not available, path=%s error=%s", self._path, error)
             self.close()
             return
@@ -98,28 +105,28 @@
         if self.channel is not None or user != os.geteuid():
             sock.close()
             return
-        self.channel = Channel(self._loop, sock, self._received, self._lost)
-        self._expect_within(REQUEST_TIMEOUT_S)
+        self.channel = Channel(self._loop, sock, self._frame_received, self._disconnected)
+        self._start_timer(REQUEST_TIMEOUT_S)
 
-    def _expect_within(self, timeout_s: float) -> None:
+    def _start_timer(self, timeout_s: float) -> None:
         self._stop_timer()
-        self._timer = self._loop.call_later(timeout_s, self.timed_out)
+        self._timer = self._loop.call_later(timeout_s, self.abort_on_timeout)
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
 
-    def timed_out(self) -> None:
-        """The new process has been silent for too long."""
+    def abort_on_timeout(self) -> None:
+        """Disconnect the new process, which exceeded the time limit of the current step."""
         if self.channel is not None:
             self.channel.close()
-            self._lost()
+            self._disconnected()
 
-    def _received(self, frame: Frame) -> None:
-        if isinstance(frame, HandoverRequested) and not self.exported:
+    def _frame_received(self, frame: Frame) -> None:
+        if isinstance(frame, HandoverRequested) and not self.state_exported:
             self._answer_request(frame)
-        elif isinstance(frame, OwnershipTaken) and self.exported and not self.new_process_owns:
-            self._finish()
+        elif isinstance(frame, OwnershipTaken) and self.state_exported and not self.new_process_owns_journal:
+            self._complete_handover()
 
     def _answer_request(self, request: HandoverRequested) -> None:
         assert self.channel is not None
@@ -130,24 +137,24 @@
             log.warning("hot restart: rejected, reason=%s", reason)
             self.channel.send(HandoverRejected(reason))
             return
-        self._hand_over(self.channel)
-
-    def _hand_over(self, channel: Channel) -> None:
-        self.exported = True
-        self._expect_within(OWNERSHIP_TIMEOUT_S)
-        handed_over = self._source.export_state(self.report)
-        listener = [] if handed_over.listener_fd is None else [handed_over.listener_fd]
-        clients = handed_over.clients
-        channel.send(StateHandedOver(handed_over.state, len(listener) + len(clients)), listener)
+        self._send_handover(self.channel)
+
+    def _send_handover(self, channel: Channel) -> None:
+        self.state_exported = True
+        self._start_timer(OWNERSHIP_TIMEOUT_S)
+        handover = self._source.export_state(self.report)
+        listener = [] if handover.listener_fd is None else [handover.listener_fd]
+        clients = handover.clients
+        channel.send(StateHandedOver(handover.state, len(listener) + len(clients)), listener)
         for start in range(0, len(clients), CLIENTS_PER_FRAME):
-            some = clients[start : start + CLIENTS_PER_FRAME]
-            descriptors = [client.descriptor for client in some]
-            channel.send(ClientsHandedOver([client.state for client in some]), descriptors)
+            group = clients[start : start + CLIENTS_PER_FRAME]
+            descriptors = [client.descriptor for client in group]
+            channel.send(ClientsHandedOver([client.state for client in group]), descriptors)
         channel.send(HandoverComplete())
 
-    def _finish(self) -> None:
+    def _complete_handover(self) -> None:
         assert self.channel is not None
-        self.new_process_owns = True
+        self.new_process_owns_journal = True
         self._stop_timer()
         log.info("hot restart: handed over")
         for report in self.unsent_reports:
@@ -156,37 +163,43 @@
         self._source.finish_handover()
 
     def report(self, report: Report) -> None:
-        """Pass on what has come of a call that was in flight."""
-        if not self.new_process_owns:
+        """Send a report, or hold it back until the new process owns the journal."""
+        if not self.new_process_owns_journal:
             self.unsent_reports.append(report)
         elif self.channel is not None:
             self.channel.send(report)
 
-    def _lost(self) -> None:
-        """The new process has gone. Before it owned, this one goes on as if it had not been asked."""
+    def _disconnected(self) -> None:
+        """Handle the end of the connection to the new process.
+
+        If the state was exported and the new process has not confirmed ownership, acquire the journal lock
+        again and serve on. If the lock is held, or the journal has changed, the new process has become the
+        owner: drain without reporting. In all other cases nothing changes: this process serves, or drains
+        without reporting.
+        """
         self._stop_timer()
         self.channel = None
-        if not self.exported or self.new_process_owns:
+        if not self.state_exported or self.new_process_owns_journal:
             return
         try:
             self._source.journal.reacquire()
-        except JournalLockedError:  # it owns, and outcomes of calls in flight cannot be reported any more
-            log.error("hot restart: the new process holds the journal but has closed the socket")
-            self.new_process_owns = True
+        except JournalLockedError:
+            log.error("hot restart: new process owns the journal but disconnected, outcomes not reported")
+            self.new_process_owns_journal = True
             self._source.finish_handover()
             return
-        log.warning("hot restart: the new process has gone without owning, serving on")
-        self.exported = False
+        log.warning("hot restart: new process disconnected before it owned the journal, serving on")
+        self.state_exported = False
         self.unsent_reports.clear()
         self._source.resume_serving()
 
     @property
     def reports_sent(self) -> bool:
-        """Whether everything that was to be reported has been written."""
+        """Whether all reports have been written to the socket, or cannot be because it is closed."""
         return self.channel is None or self.channel.all_sent
 
     def close(self) -> None:
-        """Stop listening, and remove the socket if it is still this process's."""
+        """Disconnect, stop listening, and remove the socket file unless another process has replaced it."""
         self._stop_timer()
         if self.sock is not None:
             self._loop.remove_reader(self.sock)
--- a/message_relay/server/hot_restart/snapshot.py
+++ b/message_relay/server/hot_restart/snapshot.py
@@ -1,6 +1,6 @@
-"""What one process hands over to the next, as typed data and as the values that go over the socket.
+"""The state that is handed over in a hot restart, as typed data and in the form sent over the socket.
 
-Version 3 of the protocol: the keys of the map and the order of its values are fixed.
+The keys of the map and the order of its values are fixed in version 3 of the protocol.
 """
 
 from __future__ import annotations
@@ -11,35 +11,40 @@
 from message_relay.server.endpoint_directory import Target
 from message_relay.server.retry_after import RetryAfterScope
 
-VERSION = 3  # another one is rejected: the new process then starts from the journal
+VERSION = (
+    3  # a request of another version is rejected; its sender starts from the journal when the lock is free
+)
 
 
 class RetryAfterWait(NamedTuple):
-    """A Retry-After that is not over, until a time in monotonic microseconds."""
+    """A Retry-After with the time until which it applies, in monotonic microseconds."""
 
     scope: RetryAfterScope
     until_us: int
 
 
 class CallInFlight(NamedTuple):
-    """A call of the old process with its attempts, each as (message number, attempt)."""
+    """A call that the old process has in flight, with its attempts as (message number, attempt)."""
 
     endpoint: int
     attempts: list[tuple[int, int]]
 
 
 class ServerSnapshot(NamedTuple):
-    """Everything that the new process needs to go on as if it were the old one."""
+    """The state of the old process that is neither in the journal nor part of a client connection.
+
+    Sent are the policy's state, the endpoint list, the Retry-After waits and the calls in flight.
+    """
 
     policy: PolicySnapshot
     list_revision: int
     targets: list[Target]
-    endpoint_uids: dict[int, str]  # by the old process's endpoint numbers
+    endpoint_uids: dict[int, str]  # by the endpoint numbers of the old process
     waits: list[RetryAfterWait]
     calls: list[CallInFlight]
 
     def to_wire(self) -> dict[str, Any]:
-        """The map that goes over the socket."""
+        """Return the map that is sent over the socket."""
         return {
             "brain": self.policy.to_wire(),
             "rev": self.list_revision,
@@ -51,7 +56,10 @@
 
     @classmethod
     def from_wire(cls, wire: dict[str, Any]) -> ServerSnapshot:
-        """The reverse. LookupError, TypeError or ValueError if something lacks or is of another form."""
+        """Build the snapshot from the map that was received.
+
+        Raises `LookupError` if a key is missing, `TypeError` or `ValueError` if a value has another form.
+        """
         return cls(
             policy=PolicySnapshot.from_wire(wire["brain"]),
             list_revision=wire["rev"],
@@ -69,14 +77,14 @@
 
 
 class TransferredClient(NamedTuple):
-    """A client's connection and what was read from it (see ClientConnection.export_state)."""
+    """A client's socket and the exported state of its connection (see ClientConnection.export_state)."""
 
     descriptor: int
     state: list[Any]
 
 
 class HandoverState(NamedTuple):
-    """All that is handed over: the state, the listening socket and the clients' connections."""
+    """A complete handover: the old process's state, the listening socket and the client connections."""
 
     state: ServerSnapshot
     listener_fd: int | None
--- a/message_relay/server/hot_restart/state_transfer.py
+++ b/message_relay/server/hot_restart/state_transfer.py
@@ -1,4 +1,4 @@
-"""The server's state in a hot restart: exported by the old process, imported by the new one."""
+"""Export of the server's state by the old process of a hot restart, and import by the new one."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class ServerParts(Protocol):
-    """The parts of a server that a hot restart concerns."""
+    """The parts of a server whose state a hot restart reads or changes."""
 
     policy: DeliveryPolicy
     journal: Journal
@@ -55,37 +55,39 @@
     lifecycle: Lifecycle
 
     def apply_list(self, change: EndpointListChange, form: EndpointListForm) -> None:
-        """Take over an endpoint list."""
+        """Apply an endpoint list or a change of it."""
 
 
 class ReportingObserver:
-    """Observes the calls of a process that hands over: reports outcomes, begins nothing.
+    """Observes the calls in flight during a handover: reports their outcomes, lets no attempt start.
 
-    What it reports is kept in ``deferred``, in case the new process never owns.
+    The same outcomes are stored in `deferred_actions`, which are run if this process serves on.
     """
 
     def __init__(self, attempts: AttemptRunner, report: Callable[[Report], None]) -> None:
-        self.deferred: list[Callable[[], None]] = []
+        self.deferred_actions: list[Callable[[], None]] = []
         self._attempts = attempts
         self._report = report
 
     def may_write(self, endpoint: int) -> bool:
-        """Nothing more is written."""
+        """Return False: no further call is written."""
         return False
 
     def call_written(self, message_count: int) -> None:
-        """Count a call that was being written."""
+        """Count a call whose last byte was written after the handover began."""
         self._attempts.call_written(message_count)
 
     def attempts_starting(self, attempts: list[CallAttempt]) -> bool:
-        """Nothing more is started."""
+        """Return False: no further attempt is started."""
         return False
 
     def attempt_ended(
         self, attempt: CallAttempt, endpoint: int, outcome: AttemptOutcome, latency_us: int
     ) -> None:
-        """Report the outcome."""
-        self.deferred.append(lambda: self._attempts.attempt_ended(attempt, endpoint, outcome, latency_us))
+        """Report the outcome of an attempt to the new process."""
+        self.deferred_actions.append(
+            lambda: self._attempts.attempt_ended(attempt, endpoint, outcome, latency_us)
+        )
         self._report(
             AttemptEndedReport(
                 attempt.message_number,
@@ -99,48 +101,50 @@
         )
 
     def retry_after_received(self, endpoint: int, wait_us: int) -> None:
-        """Report a Retry-After."""
-        self.deferred.append(lambda: self._attempts.retry_after_received(endpoint, wait_us))
+        """Report a Retry-After to the new process."""
+        self.deferred_actions.append(lambda: self._attempts.retry_after_received(endpoint, wait_us))
         self._report(RetryAfterReport(endpoint, wait_us))
 
     def load_report_received(self, endpoint: int, values: dict[str, float]) -> None:
-        """Report a load report."""
-        self.deferred.append(lambda: self._attempts.load_report_received(endpoint, values))
+        """Pass a load report on to the new process."""
+        self.deferred_actions.append(lambda: self._attempts.load_report_received(endpoint, values))
         self._report(LoadReport(endpoint, values))
 
     def health_check_ended(self, endpoint: int, result: AttemptResult, latency_us: int) -> None:
-        """Health checks are not handed over."""
+        """Ignore the result: health checks are not handed over."""
 
 
 class StateTransfer:
-    """Both sides of a hot restart, as far as they concern the server's state.
+    """Exports and imports the server's state in a hot restart.
 
-    See HandoverSource and HandoverTarget.
+    Implements HandoverSource for the old process, and the part of HandoverTarget that receives reports.
     """
 
     def __init__(self, server: ServerParts) -> None:
         self.journal = server.journal
         self._server = server
         self._observer: ReportingObserver | None = None
-        self._moving: list[ClientConnection] = []  # connections that go to the new process
-        # Of the new process: the old one's calls in flight, as (message number, attempt), and its endpoints.
-        self._imported_calls: dict[tuple[int, int], int] = {}
+        self._transferred_connections: list[ClientConnection] = []  # sent to the new process
+        # In the new process: the attempts that the old one has in flight, as (message number, attempt), with
+        # their endpoints, and this process's endpoint numbers by those of the old one.
+        self._endpoints_by_attempt: dict[tuple[int, int], int] = {}
         self._endpoint_numbers: dict[int, int] = {}
 
     # As the old process
 
     def handover_blocked_reason(self) -> str:
-        """Why this process may not hand over, empty if it may."""
+        """Return the reason that blocks a handover, empty if there is none."""
         return self._server.lifecycle.handover_blocked_reason()
 
     def export_state(self, report: Callable[[Report], None]) -> HandoverState:
-        """Stop serving: nothing is accepted, read, begun or recorded from here on.
+        """Stop serving, release the journal lock and return the state.
 
-        Outcomes of calls in flight are reported. The journal's lock is free afterwards.
+        From then on, this process accepts no connection, reads no request, starts no attempt and writes no
+        record. The outcomes of calls in flight are passed to `report`.
         """
         server = self._server
         server.clients.pause()
-        # What has come in is answered, but no call begins.
+        # Requests that were read are answered, but the policy starts no further attempt.
         server.events.add_without_tick(ShutdownScheduled(clock.monotonic_us()))
         server.policy_runner.run()
         server.calls.abandon_unstarted()
@@ -149,18 +153,18 @@
         self._observer = ReportingObserver(server.attempts, report)
         server.calls.observer = self._observer
         connections = server.clients.connections
-        self._moving = [connection for connection in connections if connection.transferable]
+        self._transferred_connections = [connection for connection in connections if connection.transferable]
         listener = server.clients.listening_socket
-        handed_over = HandoverState(
+        handover = HandoverState(
             self._snapshot(),
             listener.fileno() if listener is not None else None,
             [
                 TransferredClient(connection.sock.fileno(), connection.export_state())
-                for connection in self._moving
+                for connection in self._transferred_connections
             ],
         )
         server.journal.close()
-        return handed_over
+        return handover
 
     def _snapshot(self) -> ServerSnapshot:
         server = self._server
@@ -175,45 +179,54 @@
         )
 
     def defer_finals(self, numbers: list[int]) -> bool:
-        """While it is open which process owns, notices are recorded by this one only if it goes on."""
+        """Return whether the record that discovery accepted these final answers is deferred.
+
+        During a handover it is written only if this process serves on.
+        """
         if not self._server.events.paused:
             return False
         if self._observer is not None:
-            self._observer.deferred.append(lambda: self._server.answers.record_notified(numbers))
+            self._observer.deferred_actions.append(lambda: self._server.answers.record_notified(numbers))
         return True
 
     def resume_serving(self) -> None:
-        """The new process has gone without owning: go on."""
+        """Serve on after a handover that failed; this process holds the journal lock again.
+
+        Outcomes that arrived since the export are processed now.
+        """
         server = self._server
         server.events.paused = False
         server.calls.observer = server.attempts
         if self._observer is not None:
-            for action in self._observer.deferred:
+            for action in self._observer.deferred_actions:
                 action()
         server.clients.resume()
         server.events.add(ShutdownScheduled(math.inf))
 
     def finish_handover(self) -> None:
-        """The new process owns: only the calls in flight are finished here."""
+        """Drain after the new process became the owner: finish the calls in flight, then exit."""
         server = self._server
         server.lifecycle.handed_over, server.lifecycle.serving = True, False
         if self._observer is not None:
-            self._observer.deferred.clear()
+            self._observer.deferred_actions.clear()
         server.answers.stop_all_deadlines()
         server.journal.drop_messages()
         server.watch.stop()
         server.notifier.stop()
         server.clients.stop_listening()
-        for connection in self._moving:
+        for connection in self._transferred_connections:
             connection.close()
         server.lifecycle.drain_after_handover()
 
     # As the new process
 
     def import_state(self, state: ServerSnapshot) -> frozenset[int]:
-        """Go on with what the old process knew. Returns the numbers of the messages that it tells of."""
+        """Import the old process's state and return the numbers of the messages that it includes.
+
+        Messages of the journal that are not included have to be restored by the caller.
+        """
         server = self._server
-        if state.list_revision > server.watch.revision:  # its list is the newer one
+        if state.list_revision > server.watch.revision:  # the old process has a newer list
             server.watch.revision = state.list_revision
             change = EndpointListChange(state.list_revision, True, state.targets)
             server.apply_list(change, EndpointListForm.COMPLETE)
@@ -226,7 +239,7 @@
                 server.attempts.next_attempts[number] = attempts
         for call in state.calls:
             for attempt in call.attempts:
-                self._imported_calls[attempt] = self._endpoint_numbers[call.endpoint]
+                self._endpoints_by_attempt[attempt] = self._endpoint_numbers[call.endpoint]
         server.events.add_without_tick(StateImported(state.policy, self._endpoint_numbers))
         return frozenset(state.policy.attempts)
 
@@ -235,11 +248,11 @@
         for number, uid in uids.items():
             if uid in directory.numbers:
                 self._endpoint_numbers[number] = directory.numbers[uid]
-            else:  # listed no more: a call may still be in flight there
+            else:  # not in the current list, but a call to it may still be in flight
                 self._endpoint_numbers[number] = directory.reserve_number()
 
     def report_received(self, report: Report) -> None:
-        """What has come of a call of the old process."""
+        """Process a report about a call that the old process has in flight."""
         attempts = self._server.attempts
         if isinstance(report, AttemptEndedReport):
             self._attempt_ended(report)
@@ -251,15 +264,21 @@
             attempts.load_report_received(endpoint, report.values)
 
     def reports_ended(self) -> None:
-        """The old process has gone: the attempts that it has not reported may have been applied."""
-        if self._imported_calls:
-            log.warning("attempts of the old process possibly applied: count=%d", len(self._imported_calls))
-        for number, attempt in list(self._imported_calls):
+        """Treat attempts without a report as possibly applied, because the old process disconnected.
+
+        Each ends as cancelled after its start.
+        """
+        if self._endpoints_by_attempt:
+            log.warning(
+                "hot restart: attempts without reported outcome possibly applied, count=%d",
+                len(self._endpoints_by_attempt),
+            )
+        for number, attempt in list(self._endpoints_by_attempt):
             outcome = AttemptOutcome(AttemptResult.CANCELLED)
             self._attempt_ended(AttemptEndedReport(number, attempt, 0, True, False, 0, outcome))
 
     def _attempt_ended(self, report: AttemptEndedReport) -> None:
-        endpoint = self._imported_calls.pop((report.message_number, report.attempt), None)
+        endpoint = self._endpoints_by_attempt.pop((report.message_number, report.attempt), None)
         if endpoint is None:
             return
         attempt = CallAttempt(
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -182,7 +182,7 @@
     requester = ScriptedRequester(pair)
     while pair.listener.channel is None:
         await asyncio.sleep(0.001)
-    pair.listener.timed_out()  # as at the end of its time limit
+    pair.listener.abort_on_timeout()  # as at the end of its time limit
     await bounded(requester.disconnected.wait())
     await assert_still_serves(fleet, pair, client, endpoint, "after")
 
