--- a/message_relay/server/hot_restart/snapshot.py
+++ b/message_relay/server/hot_restart/snapshot.py
@@ -11,9 +11,8 @@
 from message_relay.server.endpoint_directory import Target
 from message_relay.server.retry_after import RetryAfterScope
 
-VERSION = (
-    3  # a request of another version is rejected; its sender starts from the journal when the lock is free
-)
+# A request of another version is rejected; its sender starts from the journal when the lock is free.
+VERSION = 3
 
 
 class RetryAfterWait(NamedTuple):
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,4 +1,7 @@
-"""What is kept for a message, a connection or an endpoint is released: replacements and new ids."""
+"""Memory growth: entries of messages, connections and endpoints are removed with them.
+
+Guards against containers that grow with every replaced endpoint or new message id.
+"""
 
 import asyncio
 
@@ -7,8 +10,8 @@
 from message_relay.server.resp import connection
 
 
-def sizes_of(relay):
-    """The sizes of all that is kept for something that comes and goes."""
+def container_sizes(relay):
+    """Return the sizes of the containers with an entry for each message, connection or endpoint."""
     state, journal, calls = relay.policy.state, relay.journal, relay.calls
     return {
         "uids": len(relay.directory.numbers),
@@ -39,8 +42,9 @@
 
 
 @with_fleet
-async def test_endpoints_replaced_over_and_over_leave_nothing_behind(fleet):
-    # New ids at the address of a removed endpoint, its calls in flight: each is an endpoint of its own.
+async def test_repeatedly_replaced_endpoints_leave_no_entries(fleet):
+    # Each new uid at the address of a removed endpoint is a new endpoint, also while calls to the removed one
+    # are in flight.
     endpoint = await fleet.endpoint("e0")
     client = await fleet.start_relay()
     relay = fleet.relay
@@ -57,12 +61,12 @@
             await asyncio.sleep(0.002)
         if n in (10, 59):
             await asyncio.sleep(0.05)
-            sizes.append(sizes_of(relay))
+            sizes.append(container_sizes(relay))
     assert sizes[0] == sizes[1] and sizes[0]["uids"] == sizes[0]["endpoints"] == 1 == sizes[0]["pools"]
 
 
 @with_fleet
-async def test_an_endpoint_that_is_removed_with_its_call_in_flight_is_forgotten_when_the_call_ends(fleet):
+async def test_an_endpoint_removed_with_its_call_in_flight_is_dropped_when_the_call_ends(fleet):
     endpoint = await fleet.endpoint("a", "hang")
     client = await fleet.start_relay()
     await bounded(fleet.discovery.watches.get())
@@ -71,7 +75,7 @@
     fleet.discovery.change("a", state="terminated")
     assert (await fleet.discovery.final())["id"] == "u"
     await asyncio.sleep(0.05)
-    assert sizes_of(fleet.relay)["endpoints"] == sizes_of(fleet.relay)["groups"] == 0
+    assert container_sizes(fleet.relay)["endpoints"] == container_sizes(fleet.relay)["groups"] == 0
 
 
 @with_fleet
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,8 @@
-"""A hot restart, both servers in one process: what is passed on, and what each does when the other dies."""
+"""Hot restarts with both servers in one process: the transferred state, and the end of either process.
+
+Guards against lost or repeated messages, and against two processes that serve or write records at once, when
+a process ends in any step of a handover.
+"""
 
 from hot_restart_pair import ScriptedRequester, add_blocked_endpoint, assert_still_serves, with_process_pair
 import asyncio
@@ -15,14 +19,14 @@
 
 
 @with_process_pair
-async def test_a_hot_restart_passes_on_clients_calls_and_cordons(fleet, start):
+async def test_a_hot_restart_transfers_clients_calls_and_cordons(fleet, start):
     blocked = await add_blocked_endpoint(fleet)
     endpoint_e = await fleet.endpoint("e", dest=8)
     endpoint_f = await fleet.endpoint("f", dest=8)
     client, pair = await start()
     old = pair.old_process
-    half = await Client().open(fleet.relay_port())
-    half.writer.write(Client.message("half", dest=8)[:25])
+    partial_client = await Client().open(fleet.relay_port())
+    partial_client.writer.write(Client.message("half", dest=8)[:25])
     assert await client.put("u", kind="unsafe") == "+OK"
     await blocked.call()
     old.operations.cordon("f")
@@ -30,12 +34,11 @@
         await asyncio.sleep(0.001)
     new = await pair.hot_restart()
     assert new.unready_reason() == "" and old.unready_reason() == "handed over"
-    assert await client.put("next", dest=8) == "+OK"  # on the connection that it had
-    assert await half.send(Client.message("half", dest=8)[25:]) == "+OK"
+    assert await client.put("next", dest=8) == "+OK"  # on the transferred connection
+    assert await partial_client.send(Client.message("half", dest=8)[25:]) == "+OK"
     assert {(await endpoint_e.call())[1]["x-request-id"] for _ in range(2)} == {"next", "half"}
-    assert (
-        not old.lifecycle.closed.done() and new.journal.open_count >= 1
-    )  # the old process waits for its call
+    # The old process drains its call in flight.
+    assert not old.lifecycle.closed.done() and new.journal.open_count >= 1
     blocked.open.set()
     await bounded(old.lifecycle.closed)
     while new.journal.open_count:
@@ -45,7 +48,7 @@
 
 
 @with_process_pair
-async def test_the_old_process_dying_after_the_handover_equals_a_restart(fleet, start):
+async def test_after_the_old_process_ends_its_unreported_attempts_are_possibly_applied(fleet, start):
     blocked, other_blocked = await add_blocked_endpoint(fleet), await add_blocked_endpoint(fleet, "k", dest=8)
     client, pair = await start()
     assert await client.put("u", kind="unsafe") == "+OK"
@@ -53,15 +56,15 @@
     await blocked.call()
     await other_blocked.call()
     await pair.hot_restart()
-    pair.listener.channel.close()  # as its death does: no outcome comes any more
+    pair.listener.channel.close()  # as when the process ends: no more outcomes are reported
     pair.old_process.close()
     assert await fleet.discovery.final() == {"id": "u", "status": "undeliverable"}
-    assert (await other_blocked.call())[1]["x-request-id"] == "s"  # it may be repeated
+    assert (await other_blocked.call())[1]["x-request-id"] == "s"  # idempotent, so it is sent again
     assert blocked.calls.empty()
 
 
 @with_process_pair
-async def test_the_old_process_dying_before_it_hands_over_leaves_its_journal(fleet, start):
+async def test_if_the_old_process_ends_before_a_handover_the_new_one_starts_from_the_journal(fleet, start):
     endpoint = await fleet.endpoint("e", dest=8)
     await add_blocked_endpoint(fleet, dest=9)
     client, pair = await start()
@@ -86,24 +89,24 @@
 
 
 @with_process_pair
-async def test_the_new_process_dying_before_it_owns_the_journal_leaves_the_old_serving(fleet, start):
+async def test_if_the_new_process_ends_before_it_owns_the_journal_the_old_one_serves_on(fleet, start):
     endpoint = await fleet.endpoint("e", dest=8)
     blocked = await add_blocked_endpoint(fleet)
     client, pair = await start()
     assert await client.put("out") == "+OK"
     await blocked.call()
-    # It connects and sends nothing.
+    # The new process connects and ends before it sends a request.
     requester = ScriptedRequester(pair)
     while pair.listener.channel is None:
         await asyncio.sleep(0.001)
     requester.channel.close()
     await assert_still_serves(fleet, pair, client, endpoint, "a")
-    # It sends its request, and is gone when the response comes.
+    # It ends before it receives the response to its request.
     requester = ScriptedRequester(pair)
     requester.channel.send_values(["take", VERSION])
     requester.channel.close()
     await assert_still_serves(fleet, pair, client, endpoint, "b")
-    # It has the response, while a call in flight ends.
+    # It receives the complete handover and ends after a call in flight of the old process ended.
     requester = ScriptedRequester(pair)
     requester.channel.send_values(["take", VERSION])
     await requester.wait_for_frame("end")
@@ -116,7 +119,7 @@
     while pair.old_process.journal.open_count:
         await asyncio.sleep(0.001)
     assert pair.old_process.metrics.delivered[0] == 4 and blocked.calls.empty()
-    # It holds the lock, but has not reported it.
+    # It acquires the lock and ends before it confirms this.
     requester = ScriptedRequester(pair)
     requester.channel.send_values(["take", VERSION])
     await requester.wait_for_frame("end")
@@ -127,7 +130,7 @@
 
 
 @with_process_pair
-async def test_nothing_is_read_or_closed_while_the_owner_is_undecided(fleet, start):
+async def test_no_client_is_read_or_closed_during_a_handover(fleet, start):
     endpoint = await fleet.endpoint("e", dest=8)
     client, pair = await start()
     assert await client.put("a", dest=8) == "+OK"
@@ -141,20 +144,21 @@
     pair.old_process.lifecycle._close_connections()
     pair.old_process.clients._sweep_periodically()
     fd = requester.channel.received_descriptors[1]
-    assert Client.message("b", dest=8) in socket.socket(fileno=os.dup(fd)).recv(1000)  # still there, and open
+    # The request is unread and the connection is open.
+    assert Client.message("b", dest=8) in socket.socket(fileno=os.dup(fd)).recv(1000)
     assert len(pair.old_process.clients.connections) == 1
     requester.channel.close()
     assert [(await endpoint.call())[1]["x-request-id"]] == ["a"]
 
 
 @with_process_pair
-async def test_a_new_process_that_owns_the_journal_keeps_the_old_from_writing(fleet, start):
+async def test_the_old_process_writes_no_record_once_the_new_one_owns_the_journal(fleet, start):
     client, pair = await start()
     requester = ScriptedRequester(pair)
     requester.channel.send_values(["take", VERSION])
     await requester.wait_for_frame("end")
     journal = Journal(fleet.folder / "state", 3_000_000).acquire()
-    requester.channel.close()  # with the lock held
+    requester.channel.close()  # without a confirmation, but the lock is held
     await bounded(pair.old_process.lifecycle.closed)
     assert pair.old_process.lifecycle.handed_over and pair.old_process.unready_reason() == "handed over"
     with pytest.raises(OSError):
@@ -163,7 +167,7 @@
 
 
 @with_process_pair
-async def test_malformed_frames_other_versions_and_silence_change_nothing(fleet, start):
+async def test_after_malformed_frames_other_versions_and_timeouts_the_old_process_serves_on(fleet, start):
     endpoint = await fleet.endpoint("e", dest=8)
     client, pair = await start()
     for n, message in enumerate(([], ["take", 99], ["take"], ["owned"], ["what", 1])):
@@ -182,13 +186,13 @@
     requester = ScriptedRequester(pair)
     while pair.listener.channel is None:
         await asyncio.sleep(0.001)
-    pair.listener.abort_on_timeout()  # as at the end of its time limit
+    pair.listener.abort_on_timeout()  # as at the end of the time limit for a request
     await bounded(requester.disconnected.wait())
     await assert_still_serves(fleet, pair, client, endpoint, "after")
 
 
 @with_process_pair
-async def test_a_process_in_shutdown_hands_nothing_over(fleet, start):
+async def test_a_process_in_shutdown_rejects_a_handover(fleet, start):
     _, pair = await start()
     pair.old_process.lifecycle.shut_down()
     requester = ScriptedRequester(pair)
@@ -198,7 +202,7 @@
 
 
 @with_process_pair
-async def test_operators_commands_are_rejected_while_no_or_another_process_serves(fleet, start):
+async def test_operators_commands_are_rejected_by_a_process_that_does_not_serve(fleet, start):
     await fleet.endpoint("e")
     _, pair = await start()
     new = pair.prepare_new_process()
--- a/tests/test_hot_restart_processes.py
+++ b/tests/test_hot_restart_processes.py
@@ -1,4 +1,8 @@
-"""A hot restart with real processes, sockets and locks: one process owns the journal at a time."""
+"""Hot restarts with real processes, sockets and file locks.
+
+Guards against two processes that own the journal at once, rejected clients during a handover, and starts that
+fail where the platform does not permit Unix sockets or file locks.
+"""
 
 import asyncio
 import contextlib
@@ -18,14 +22,14 @@
 from message_relay.server.journal import Journal, JournalLockedError
 
 
-def test_one_process_owns_the_journal_and_another_cannot_write_behind_it(tmp_path):
+def test_one_process_owns_the_journal_and_changes_by_another_are_detected(tmp_path):
     first = Journal(tmp_path, 1_000_000).acquire()
     first.record_cordon("a", True)
     second = Journal(tmp_path, 1_000_000)
     with pytest.raises(JournalLockedError):
         second.acquire()
     first.close()
-    first.reacquire()  # nobody had it meanwhile
+    first.reacquire()  # no other process has acquired it since
     first.record_cordon("b", True)
     first.close()
     second.acquire()
@@ -34,23 +38,23 @@
     second.close()
     with pytest.raises(JournalLockedError):
         first.reacquire()
-    third = Journal(tmp_path, 1_000_000).acquire()  # and the lock was released
+    third = Journal(tmp_path, 1_000_000).acquire()  # the failed reacquire() released the lock
     assert list(third.cordoned) == ["a", "b", "c"]
     third.close()
 
 
 @with_fleet
-async def test_a_stale_file_and_a_long_path_do_not_matter(fleet):
+async def test_a_stale_socket_is_replaced_and_a_long_path_works(fleet):
     await fleet.start_relay()
     loop = asyncio.get_running_loop()
-    deep = fleet.folder / ("d" * 60) / ("e" * 60)
-    deep.mkdir(parents=True)
-    path = deep / "hand.sock"
-    left = socket.socket(socket.AF_UNIX)
+    directory = fleet.folder / ("d" * 60) / ("e" * 60)
+    directory.mkdir(parents=True)
+    path = directory / "hand.sock"
+    stale_socket = socket.socket(socket.AF_UNIX)
     with channel.short_socket_name(path) as name:
         assert len(name) < 100 < len(str(path))
-        left.bind(name)
-    left.close()  # the file stays, as after SIGKILL
+        stale_socket.bind(name)
+    stale_socket.close()  # the file stays, as after SIGKILL
     requester = new_process.HotRestartRequester(loop, path, print, print)
     assert not await bounded(requester.request_handover())
     listener = old_process.HotRestartListener(loop, fleet.relay.transfer, path)
@@ -60,26 +64,28 @@
     second_requester.close()
     listener.close()
     assert not path.exists()
-    (deep / "file").write_text("kept")
-    other = old_process.HotRestartListener(loop, fleet.relay.transfer, deep / "file")
-    other.listen()  # not a socket: left alone, and no reason to end
-    assert other.sock is None and (deep / "file").read_text() == "kept"
+    (directory / "file").write_text("kept")
+    second_listener = old_process.HotRestartListener(loop, fleet.relay.transfer, directory / "file")
+    second_listener.listen()  # not a socket: neither replaced nor a reason to exit
+    assert second_listener.sock is None and (directory / "file").read_text() == "kept"
 
 
-@pytest.mark.parametrize("refused", [errno.EPERM, errno.ENOSYS, errno.EMFILE, errno.EAFNOSUPPORT])
-def test_a_rejected_unix_socket_prevents_the_hot_restart_alone(tmp_path, monkeypatch, caplog, refused):
-    real = socket.socket
+@pytest.mark.parametrize("socket_error_number", [errno.EPERM, errno.ENOSYS, errno.EMFILE, errno.EAFNOSUPPORT])
+def test_without_unix_sockets_the_relay_serves_without_hot_restarts(
+    tmp_path, monkeypatch, caplog, socket_error_number
+):
+    create_socket = socket.socket
 
-    def refuse(family=-1, *rest, **kw):
+    def reject(family=-1, *rest, **kw):
         if family == socket.AF_UNIX:
-            raise OSError(refused, "refused")
-        return real(family, *rest, **kw)
+            raise OSError(socket_error_number, "refused")
+        return create_socket(family, *rest, **kw)
 
     @with_fleet
     async def serve(fleet):
         endpoint = await fleet.endpoint("a")
         client = await fleet.start_relay()
-        monkeypatch.setattr(channel.socket, "socket", refuse)
+        monkeypatch.setattr(channel.socket, "socket", reject)
         loop = asyncio.get_running_loop()
         listener = old_process.HotRestartListener(loop, fleet.relay.transfer, tmp_path / "hand.sock")
         listener.listen()
@@ -92,22 +98,23 @@
 
     with caplog.at_level("INFO"):
         serve(tmp_path)
-    assert sum("refused" in r.getMessage() for r in caplog.records) == 2  # a line each
+    # One line of the listener, one of the requester.
+    assert sum("refused" in r.getMessage() for r in caplog.records) == 2
 
 
-@pytest.mark.parametrize("code", [errno.ENOSYS, errno.ENOLCK, errno.EOPNOTSUPP])
-def test_without_file_locks_the_journal_is_used_unlocked(tmp_path, monkeypatch, caplog, code):
-    def refuse(fd, how):
-        raise OSError(code, "refused")
+@pytest.mark.parametrize("error_number", [errno.ENOSYS, errno.ENOLCK, errno.EOPNOTSUPP])
+def test_without_file_locks_the_journal_is_used_unlocked(tmp_path, monkeypatch, caplog, error_number):
+    def reject(fd, how):
+        raise OSError(error_number, "refused")
 
-    monkeypatch.setattr(fcntl, "flock", refuse)
+    monkeypatch.setattr(fcntl, "flock", reject)
     journal = Journal(tmp_path, 1_000_000, 5.0)
     journal.acquire()
     assert journal.messages == {} and "file locks not supported, hot restart disabled" in caplog.text
     journal.close()
 
 
-def test_a_lock_that_fails_otherwise_is_no_reason_to_go_on(tmp_path, monkeypatch):
+def test_other_lock_errors_are_raised(tmp_path, monkeypatch):
     def fail(fd, how):
         raise OSError(errno.EIO, "broken disk")
 
@@ -116,7 +123,7 @@
         Journal(tmp_path, 1_000_000, 5.0).acquire()
 
 
-def test_instances_that_share_a_folder_have_sockets_of_their_own(tmp_path):
+def test_instances_that_share_a_directory_use_different_sockets(tmp_path):
     (tmp_path / "a").mkdir()
     paths = {channel.socket_path({"TMPDIR": "/t"}, tmp_path / name) for name in ("a", "b")}
     assert len(paths) == 2 and all(p.parent.name == "t" for p in paths)
@@ -150,7 +157,7 @@
 
 
 @with_fleet
-async def test_a_hot_restart_under_traffic_rejects_nobody(fleet):
+async def test_a_hot_restart_under_traffic_rejects_no_client(fleet):
     endpoint = await fleet.endpoint("e")
     with socket.create_server(("127.0.0.1", 0), backlog=100) as listener:
         ports = [free_port(), free_port()]
@@ -158,33 +165,32 @@
         await bounded(wait_until_healthy(fleet, ports[0]))
         new = None
         try:
-            kept = await Client().open(listener.getsockname()[1])
+            lasting_client = await Client().open(listener.getsockname()[1])
             stop, sent = asyncio.Event(), []
 
             async def traffic():
                 while not stop.is_set():
-                    fresh = await Client().open(listener.getsockname()[1])
-                    for client in (kept, fresh):
+                    short_client = await Client().open(listener.getsockname()[1])
+                    for client in (lasting_client, short_client):
                         sent.append(f"m{len(sent)}")
                         assert await client.put(sent[-1]) == "+OK"
-                    fresh.writer.close()
+                    short_client.writer.close()
 
             running = asyncio.ensure_future(traffic())
             new = await start_process(fleet, listener, ports[1])
             await bounded(wait_until_healthy(fleet, ports[1]))
-            assert await bounded(old.wait()) == 0  # it exits by itself, with nothing in flight
+            assert await bounded(old.wait()) == 0  # it exits when no call is in flight
             count = len(sent)
             while len(sent) < count + 5:
                 await asyncio.sleep(0.01)
             stop.set()
             await bounded(running)
-            got = {(await endpoint.call())[1]["x-request-id"] for _ in sent}
-            assert got == set(sent)
+            delivered_ids = {(await endpoint.call())[1]["x-request-id"] for _ in sent}
+            assert delivered_ids == set(sent)
             new.send_signal(signal.SIGKILL)
             await new.wait()
-            new = await start_process(
-                fleet, listener, ports[1]
-            )  # its socket file is left behind: a usual start all the same
+            # The killed process left its socket file: the next one starts from the journal.
+            new = await start_process(fleet, listener, ports[1])
             await bounded(wait_until_healthy(fleet, ports[1]))
         finally:
             for process in (old, new):
@@ -210,24 +216,24 @@
     journal.close()
 
 
-@pytest.mark.parametrize("kind", ["word", "closed", "file", "not listening", "unix", "negative"])
-def test_a_bad_descriptor_ends_the_start_with_one_line(tmp_path, kind):
-    raw = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}
-    (tmp_path / "config.json").write_text(json.dumps(raw))
-    sock = socket.socket(socket.AF_UNIX if kind == "unix" else socket.AF_INET)
-    if kind == "unix":
+@pytest.mark.parametrize("case", ["word", "closed", "file", "not listening", "unix", "negative"])
+def test_a_bad_descriptor_ends_the_start_with_one_line(tmp_path, case):
+    configuration = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}
+    (tmp_path / "config.json").write_text(json.dumps(configuration))
+    sock = socket.socket(socket.AF_UNIX if case == "unix" else socket.AF_INET)
+    if case == "unix":
         sock.bind(str(tmp_path / "u.sock"))
         sock.listen()
     with open(tmp_path / "config.json") as file, sock:
-        fd = file.fileno() if kind == "file" else sock.fileno()
-        text = {"word": "seven", "closed": "99", "negative": "-3"}.get(kind, str(fd))
+        fd = file.fileno() if case == "file" else sock.fileno()
+        descriptor_text = {"word": "seven", "closed": "99", "negative": "-3"}.get(case, str(fd))
         env = {
             **os.environ,
             "LB_CONFIG": str(tmp_path / "config.json"),
             "LB_STATE": str(tmp_path),
-            "LB_FD": text,
+            "LB_FD": descriptor_text,
         }
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "message_relay"],
             env=env,
             cwd=ROOT,
@@ -236,5 +242,5 @@
             timeout=20,
             pass_fds=[fd],
         )
-    assert done.returncode == 2 and done.stderr.startswith("message-relay: LB_FD: ")
-    assert done.stderr.count("\n") == 1
+    assert completed.returncode == 2 and completed.stderr.startswith("message-relay: LB_FD: ")
+    assert completed.stderr.count("\n") == 1
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,7 @@
-"""The relay as a process of its own: killed, terminated, started again."""
+"""The relay as a separate process that is killed or terminated and started again.
+
+Guards against accepted messages that are lost or delivered twice, and against a shutdown that takes too long.
+"""
 
 import asyncio
 import contextlib
@@ -13,7 +16,8 @@
 
 @with_fleet
 async def test_accepted_messages_survive_sigkill(fleet):
-    # In flight when the process dies: each may have been applied, so only what may be repeated is sent again.
+    # Attempts in flight when the process is killed are possibly applied: only messages whose repetition is
+    # safe are sent again.
     endpoint_e = await fleet.endpoint("a", "hang", "hang", "hang", dest=1)
     endpoint_f = await fleet.endpoint("b", "hang", dest=2)
     endpoint_g = await fleet.endpoint("c", "hang", dest=3)
@@ -34,13 +38,13 @@
     assert (await endpoint_g.call())[1]["idempotency-key"] == "k"
     assert (await endpoint_h.call())[1]["x-request-id"] == "waiting"
     assert endpoint_f.calls.empty()
-    assert await client.put("safe", dest=1) == "+OK"  # known: not sent again
+    assert await client.put("safe", dest=1) == "+OK"  # the id is in the journal: not sent again
     await client.put("next", dest=1)
     assert (await endpoint_e.call())[1]["x-request-id"] == "next"
 
 
-def zoned(fleet):
-    """The keyed class drops repeats in one zone only; endpoints a and b of one destination are in two."""
+def split_into_zones(fleet):
+    """Let the keyed class deduplicate within a zone only, and put endpoints a and b into different zones."""
     fleet.raw["localities"] = ["here", "there"]
     fleet.raw["classes"][1]["keyScope"] = "zone"
     fleet.discovery.targets["b"]["az"] = "there"
@@ -49,7 +53,7 @@
 @with_fleet
 async def test_after_sigkill_a_retry_stays_in_the_zone_where_it_may_have_been_applied(fleet):
     endpoint_b = await fleet.endpoint("b", "hang")
-    zoned(fleet)
+    split_into_zones(fleet)
     client = await fleet.start_process()
     await client.put("m", kind="keyed", key="k")
     await endpoint_b.call()
@@ -63,7 +67,7 @@
 @with_fleet
 async def test_a_key_submitted_again_stays_in_the_zone_where_it_may_have_been_applied(fleet):
     endpoint_b = await fleet.endpoint("b")
-    zoned(fleet)
+    split_into_zones(fleet)
     client = await fleet.start_relay()
     await bounded(fleet.discovery.watches.get())
     await client.put("m", kind="keyed", key="k")
@@ -72,7 +76,7 @@
     fleet.discovery.change("a", az="here")
     while len(fleet.relay.directory.entries) < 2:
         await asyncio.sleep(0.01)
-    fleet.relay.journal.compact()  # it is kept in a compacted file too
+    fleet.relay.journal.compact()  # the zone is stored in a compacted file too
     await client.put("m2", kind="keyed", key="k")
     assert (await endpoint_b.call())[1]["x-request-id"] == "m2"
     assert endpoint_a.calls.empty()
@@ -86,7 +90,7 @@
     await endpoint.call()
     await client.put("m2", kind="unsafe")
     assert (await fleet.discovery.final())["id"] == "m2"
-    assert await client.put("m1", kind="unsafe") == "+OK"  # it is done by now, and the 204 has been read
+    assert await client.put("m1", kind="unsafe") == "+OK"  # completed by now, and the 204 has been read
     await client.put("m3")
     for _ in range(2):
         await endpoint.call()
@@ -139,8 +143,9 @@
 
 
 @with_fleet
-async def test_sigterm_under_traffic(fleet):
-    # New connections are accepted for a while, a call in flight may finish, nothing acknowledged is lost.
+async def test_sigterm_under_traffic_loses_no_accepted_message(fleet):
+    # After SIGTERM, new connections are accepted for a while and calls in flight may finish; messages that
+    # were accepted and not delivered stay in the journal.
     endpoint = await fleet.endpoint("a")
     client = await fleet.start_process()
     start = time.monotonic()
@@ -152,7 +157,7 @@
         late.writer.close()
         sent += 1
         await asyncio.sleep(0.02)
-    assert await bounded(client.reader.read()) == b""  # closed between requests
+    assert await bounded(client.reader.read()) == b""  # closed while no request was open
     await bounded(fleet.process.wait())
     assert time.monotonic() - start < 3.7 and fleet.process.returncode == 0
     ids = {(await endpoint.call())[1]["x-request-id"] for _ in range(endpoint.calls.qsize())}
@@ -176,16 +181,16 @@
 
 
 @with_fleet
-async def test_running_out_of_descriptors_does_not_end_the_process(fleet):
-    # More clients than descriptors: the longest unused are closed, the process and its calls go on.
+async def test_the_process_survives_running_out_of_descriptors(fleet):
+    # With more clients than descriptors, the client connections that were idle longest are closed.
     endpoint = await fleet.endpoint("a")
     fleet.limits["sockets"] = 40
     await fleet.start_process(files=40)
-    crowd = []
+    clients = []
     for _ in range(80):
         with contextlib.suppress(OSError):
-            crowd.append(await Client().open(fleet.port))
-    for client in crowd:
+            clients.append(await Client().open(fleet.port))
+    for client in clients:
         client.writer.close()
     late = await Client().open(fleet.port)
     assert await late.put("m") == "+OK"
@@ -196,6 +201,6 @@
 def test_a_wrong_configuration_ends_with_one_line_and_status_2(tmp_path):
     env = {**os.environ, "LB_CONFIG": str(tmp_path / "none"), "LB_STATE": str(tmp_path)}
     command = [sys.executable, "-m", "message_relay"]
-    done = subprocess.run(command, env=env, cwd=ROOT, capture_output=True, text=True, timeout=20)
-    assert done.returncode == 2 and done.stderr.startswith("message-relay: LB_CONFIG: ")
-    assert done.stderr.count("\n") == 1
+    completed = subprocess.run(command, env=env, cwd=ROOT, capture_output=True, text=True, timeout=20)
+    assert completed.returncode == 2 and completed.stderr.startswith("message-relay: LB_CONFIG: ")
+    assert completed.stderr.count("\n") == 1
