--- a/message_relay/server/journal/index.py
+++ b/message_relay/server/journal/index.py
@@ -19,14 +19,14 @@
     MessagesCompleted,
 )
 
-FINISHED_ID_GRACE_S = 2.0  # time for which a finished message's id is stored after the message's deadline
+FINISHED_ID_GRACE_S = 2.0  # time for which the id of a completed message is stored after its deadline
 KEY_GRACE_S = 2.0  # time for which an idempotency key is stored after its window
 STORED_BYTES_PER_CORDON = 8  # upper bound in a compacted file, without the uid itself
 STORED_BYTES_BASE = 512  # size of an empty compacted file, rounded up to a block
 
 
 class JournalIndex:
-    """Open messages, pending final answers, cordons, ids of finished messages, and idempotency keys.
+    """Open messages, pending final answers, cordons, ids of completed messages, and idempotency keys.
 
     Each record is applied after it was written, and again, in the order of the file, when a restart restores
     the journal. Both give the same state.
@@ -86,7 +86,7 @@
 
     def mark_final(self, message: AcceptedMessage, status: FinalStatus, retry_after_ms: int) -> None:
         """Store the message's final answer and remove its body, which is not sent any more."""
-        self._close(message)
+        self._remove_from_open(message)
         self.open_bytes -= len(message.body)
         message.final_status = status
         message.retry_after_ms = retry_after_ms
@@ -153,11 +153,11 @@
             if message is None:
                 continue
             self.numbers_by_id.pop(message.id, None)
-            self._close(message)
+            self._remove_from_open(message)
             self.open_bytes -= message.stored_bytes
             self.finished_ids.add(message.id, record.at_s, message.deadline_s + FINISHED_ID_GRACE_S)
 
-    def _close(self, message: AcceptedMessage) -> None:
+    def _remove_from_open(self, message: AcceptedMessage) -> None:
         """Remove the message from the open messages; must be called before its final status is set."""
         if message.final_status is not None:
             return
--- a/message_relay/server/journal/journal.py
+++ b/message_relay/server/journal/journal.py
@@ -92,7 +92,7 @@
 
     @property
     def finished_ids(self) -> ExpiringIndex:
-        """Ids of completed messages, stored until clients no longer submit them again."""
+        """Ids of completed messages, stored for as long as clients may submit them again."""
         return self._index.finished_ids
 
     @property
