--- a/message_relay/server/journal/file.py
+++ b/message_relay/server/journal/file.py
@@ -67,8 +67,8 @@
         """Lock and open the file again if it has not changed since this process released it.
 
         The state that this process still has in memory then matches the file. Raises `JournalLockedError` if
-        another process holds the lock or has changed the file (inode or size differ); the lock is then not
-        held.
+        another process holds the lock, or if the file has changed (its inode or size differs) or can't be
+        opened; the lock is then not held.
         """
         self._acquire_lock()
         with contextlib.suppress(OSError):
