--- a/message_relay/server/hot_restart/state_transfer.py
+++ b/message_relay/server/hot_restart/state_transfer.py
@@ -186,7 +186,9 @@
         if not self._server.events.paused:
             return False
         if self._observer is not None:
-            self._observer.deferred_actions.append(lambda: self._server.answers.record_notices_accepted(numbers))
+            self._observer.deferred_actions.append(
+                lambda: self._server.answers.record_notices_accepted(numbers)
+            )
         return True
 
     def resume_serving(self) -> None:
