--- a/message_relay/policy/circuit_breaker.py
+++ b/message_relay/policy/circuit_breaker.py
@@ -5,11 +5,12 @@
 from message_relay.policy_state import Call, CircuitBreaker, Endpoint, PolicyState
 
 FAILURE_MEMORY = 0.25  # weight of the newest outcome in a failure rate
-OPEN_FAILURE_RATE, FAILURES_TO_OPEN = 0.5, 3  # from none, three failures in a row reach that rate
+OPEN_FAILURE_RATE = 0.5
+FAILURES_TO_OPEN = 3  # consecutive failures that raise the failure rate from 0 to OPEN_FAILURE_RATE
 TWO_FAILURES_RATE = 0.4  # and two this one
 FORGIVEN_FAILURE_RATE = OPEN_FAILURE_RATE * 0.8  # what a first answer leaves of it at most
-# Ceilings of the gap between half-open attempts: the first, the longest.
-HALF_OPEN_INTERVAL_US, MAX_HALF_OPEN_INTERVAL_US = 400_000, 2_500_000
+HALF_OPEN_INTERVAL_US = 400_000  # upper bound of the first interval between half-open attempts
+MAX_HALF_OPEN_INTERVAL_US = 2_500_000
 
 
 def open_circuit(state: PolicyState, endpoint: Endpoint, reason: str) -> None:
--- a/message_relay/policy/connection_reuse.py
+++ b/message_relay/policy/connection_reuse.py
@@ -5,8 +5,12 @@
 
 RESET_MEMORY = 1 / 16  # weight of the newest call in the shares that are reset
 UNANSWERED_MEMORY = 1 / 32  # and in the shares that go unanswered
-EXCESS_LOSS_FACTOR, EXCESS_LOSS_SHARE = 1.5, 0.05  # reused connections lose more from this much on
-REUSE_CUT, REUSE_GROWTH = 0.5, 1.25  # connections are trusted for this part of the age at which one failed
+# Reuse counts as the cause if reused connections lose over EXCESS_LOSS_FACTOR times what new ones lose, plus
+# EXCESS_LOSS_SHARE.
+EXCESS_LOSS_FACTOR = 1.5
+EXCESS_LOSS_SHARE = 0.05
+REUSE_CUT = 0.5  # a lost call cuts the reuse limit to this share of the connection's idle time
+REUSE_GROWTH = 1.25
 # Messages that must not be repeated get a new connection where reused ones are reset so much more often.
 EXCESS_RESET_SHARE = 0.08
 
--- a/message_relay/policy/eligibility.py
+++ b/message_relay/policy/eligibility.py
@@ -14,8 +14,9 @@
 )
 from message_relay.policy_state import Endpoint, Message, PolicyState
 
-# Share of ambiguous failures over which messages that must not be repeated wait, and how long at a time.
-AMBIGUOUS_FAILURE_LIMIT, AMBIGUOUS_FAILURE_WAIT_US = 0.15, 250_000
+# Share of ambiguous failures at an endpoint above which non-idempotent messages are deferred.
+AMBIGUOUS_FAILURE_LIMIT = 0.15
+AMBIGUOUS_FAILURE_WAIT_US = 250_000
 ROUND_TRIPS_TO_WAIT = 4  # they wait only with more time left than so many
 
 
--- a/message_relay/policy/outlier_detection.py
+++ b/message_relay/policy/outlier_detection.py
@@ -20,7 +20,8 @@
 SHUT_DOWN_RETRY_AFTER_US = (
     2_500_000  # a longer one is a destination that was shut down, not the end of a span
 )
-SUCCESS_RATE_SPAN_US, SUCCESS_RATE_STEP = 4e6, 0.25
+SUCCESS_RATE_SPAN_US = 4e6
+SUCCESS_RATE_STEP = 0.25  # calls a second that each success adds: one call in SUCCESS_RATE_SPAN_US
 
 
 def record_call_outcome(state: PolicyState, call: Call, event: AttemptEnded) -> None:
--- a/message_relay/policy/rate_limiter.py
+++ b/message_relay/policy/rate_limiter.py
@@ -8,17 +8,17 @@
 
 REJECTION_MEMORY = 0.5  # weight of the newest call in the share of rejected ones, of a group
 TYPE_REJECTION_MEMORY = 1 / 16  # and of a destination type
-BURST_S, COSTLY_BURST_S = 0.8, 0.4  # seconds of its rate that a bucket holds; less where rejected calls cost
+BURST_S = 0.8  # capacity of a bucket, in seconds of its rate
+COSTLY_BURST_S = 0.4  # the same where a rejected call has a cost
 OVERLOAD_CUT = 0.75  # on overload the rate shrinks to this share, once a round trip
 GROWTH = 0.1  # and a success adds this share of the advertised (or first learned) rate
-NEAR_REJECTED_RATE, CALM_US = (
-    0.9,
-    5_000_000,
-)  # near the rate rejected last it grows slowly, until so long after
+NEAR_REJECTED_RATE = 0.9  # share of the rate that was rejected last from which the rate grows slowly
+CALM_US = 5_000_000  # time after a rejection in which the slow growth returns to full speed
 MIN_GROWTH_SHARE = 0.1
 SCARCE_SHARE = 0.1  # with less than this of a limit left for all, this instance keeps to its part
 MIN_ADVERTISED_SHARE = 0.4  # the rate does not fall further than to this part of the advertised one
-MIN_RATE_PER_S, MIN_LEARNED_RATE_PER_S = 0.2, 0.5
+MIN_RATE_PER_S = 0.2  # lower bound of the rate, outside of large fleets
+MIN_LEARNED_RATE_PER_S = 0.5  # lower bound of a first rate that is derived from measured successes
 
 
 def tokens(state: PolicyState, group: EndpointGroup) -> float:
--- a/message_relay/policy/slow_start.py
+++ b/message_relay/policy/slow_start.py
@@ -8,7 +8,8 @@
 SAFE_OVERLOAD_SHARE = 0.8  # of the overload factor is used: the rest is for chance
 ASSUMED_HEADROOM = 2.0  # a capacity that is not advertised is taken for this multiple of the traffic seen
 MIN_TARGET_RATE_PER_S = 0.5
-MIN_RATE_PER_S, MIN_RATE_LARGE_FLEET_PER_S = 0.05, 0.001
+MIN_RATE_PER_S = 0.05
+MIN_RATE_LARGE_FLEET_PER_S = 0.001
 
 
 def traffic_share_per_s(state: PolicyState, group: EndpointGroup) -> float:
--- a/message_relay/policy/timeouts.py
+++ b/message_relay/policy/timeouts.py
@@ -9,12 +9,14 @@
 from message_relay.model import Idempotency
 from message_relay.policy_state import Call, EndpointGroup, Message, PolicyState
 
-TAIL_DEVIATIONS, ALIVE_ODDS = 1.35, 0.1
+TAIL_DEVIATIONS = 1.35
+ALIVE_ODDS = 0.1
 LOST_CALL_MEMORY = 1 / 32  # weight of the newest call in the share of lost ones
 DEFAULT_SETUP_US = 500_000  # what the first call on a new connection takes longer, until it has been seen
 HALF_OPEN_SHARE = 0.6  # a half-open attempt gets this share of the time-out
 OCCUPANCY_FADE_US = 2_000_000  # time in which a group's slot occupancy fades to its latency
-MEAN_SPAN, INSTANCE_MEAN_SPAN = 8, 32  # a mean moves by one part in so many: of a group, of all calls
+MEAN_SPAN = 8  # a group's means are updated with weight 1 / MEAN_SPAN
+INSTANCE_MEAN_SPAN = 32  # the same for the mean over all calls of the instance
 
 
 def answer_timeout_us(state: PolicyState, group: EndpointGroup) -> int:
