--- a/message_relay/policy/admission.py
+++ b/message_relay/policy/admission.py
@@ -6,9 +6,9 @@
 from message_relay.policy import final_answer, rate_limiter, retry, selection, slow_start
 from message_relay.policy_state import Destination, Message, PolicyState
 
-MAX_QUEUE_SHARE = 0.5  # what would wait for its rate over this part of its time is rejected
-MAX_REJECTED_SHARE = 0.9  # at most this share of new messages is rejected unsent
-FREE_PLACES = 2  # places kept free for new messages
+MAX_QUEUE_DELAY_SHARE = 0.5  # what would wait for its rate over this part of its time is rejected
+MAX_REJECTION_PROBABILITY = 0.9  # at most this share of new messages is rejected unsent
+MESSAGE_HEADROOM = 2  # places kept free for new messages
 CAPACITY_FREE_SHARE = 0.8  # the log says that there is capacity again below this
 
 
@@ -26,17 +26,17 @@
     message = Message.submitted(event, message_class, destination, state.sequence, state.now_us)
     destination.arrivals += 1
     for group in destination.groups:
-        slow_start.credit_arrival(state, group)
-    message.weight = message_class.priority_weight * _quota_weight(state, event.tenant)
+        slow_start.credit_new_message(state, group)
+    message.weight = message_class.priority_weight * _tenant_weight_factor(state, event.tenant)
     state.add_message(message)
     _log_capacity(state)
-    if _is_rejected(state, message) or retry.exhausted(state, message):
+    if _is_rejected(state, message) or retry.has_no_attempt_left(state, message):
         final_answer.finish(state, message, state.settings.max_retry_after_us)
     else:
         state.schedule_expiry(retry.last_start_us(state, message), message)
 
 
-def _quota_weight(state: PolicyState, tenant: int) -> float:
+def _tenant_weight_factor(state: PolicyState, tenant: int) -> float:
     """What a message counts for: traffic over its tenant's quota is worth little."""
     if tenant >= len(state.quotas):
         return 1.0
@@ -49,22 +49,22 @@
 
 
 def _log_capacity(state: PolicyState) -> None:
-    full = len(state.messages) >= state.settings.max_open_messages - 1
-    free = len(state.messages) < state.settings.max_open_messages * CAPACITY_FREE_SHARE
-    if full != state.capacity_full and (full or free):
-        state.capacity_full = full
+    capacity_reached = len(state.messages) >= state.settings.max_open_messages - 1
+    capacity_available = len(state.messages) < state.settings.max_open_messages * CAPACITY_FREE_SHARE
+    if capacity_reached != state.capacity_full and (capacity_reached or capacity_available):
+        state.capacity_full = capacity_reached
         slots = f"in_flight={state.in_flight} slots={state.settings.call_slots}"
-        state.log(f"{'capacity reached' if full else 'capacity is free'}, {slots}")
+        state.log(f"{'capacity reached' if capacity_reached else 'capacity is free'}, {slots}")
 
 
 def _is_rejected(state: PolicyState, message: Message) -> bool:
     if not state.large_fleet or message.restored:
         return False
-    share = _rejected_share(state, message.destination, message.deadline_us - state.now_us)
-    return bool(share) and state.random.random() < share
+    probability = _rejection_probability(state, message.destination, message.deadline_us - state.now_us)
+    return bool(probability) and state.random.random() < probability
 
 
-def _rejected_share(state: PolicyState, destination: Destination, left_us: int) -> float:
+def _rejection_probability(state: PolicyState, destination: Destination, remaining_us: int) -> float:
     """Share of a destination's new messages that is rejected unsent: as many as of its calls are.
 
     Where rejected calls use up the limit too, a destination of many instances rejects nearly all once calls
@@ -74,25 +74,27 @@
     groups = destination.groups
     if groups and all(group.rate_limit_per_s for group in groups):
         rate = sum(group.rate_limit_per_s for group in groups)
-        ahead = len(destination.queue) - sum(rate_limiter.tokens(state, group) for group in groups)
-        return float(ahead / rate * 1e6 > MAX_QUEUE_SHARE * left_us)
-    lent = state.statistics.rejection_rates[destination.type_index] ** 2  # to groups that had no calls yet
-    shares = [
-        group.rejection_rate if group.rejection_rate or group.last_success_at_us else lent
+        backlog = len(destination.queue) - sum(rate_limiter.tokens(state, group) for group in groups)
+        return float(backlog / rate * 1e6 > MAX_QUEUE_DELAY_SHARE * remaining_us)
+    type_rejection_rate = (
+        state.statistics.rejection_rates[destination.type_index] ** 2
+    )  # to groups that had no calls yet
+    rejection_rates_of_groups = [
+        group.rejection_rate if group.rejection_rate or group.last_success_at_us else type_rejection_rate
         for group in groups
         if not group.rate_limit_per_s
     ]
-    return min(MAX_REJECTED_SHARE, sum(shares) / max(1, len(groups)))
+    return min(MAX_REJECTION_PROBABILITY, sum(rejection_rates_of_groups) / max(1, len(groups)))
 
 
 def shed_load(state: PolicyState) -> None:
     """Give back what waits for a destination at fault before it keeps out what could be sent at once."""
-    while len(state.messages) > max(1, state.settings.max_open_messages - FREE_PLACES):
+    while len(state.messages) > max(1, state.settings.max_open_messages - MESSAGE_HEADROOM):
         destination = max(state.destinations.values(), key=lambda d: len(d.queue))
         if len(destination.queue) <= 1:
             return
-        least = min(destination.queue, key=functools.partial(_shedding_rank, state))
-        final_answer.finish(state, least)
+        lowest = min(destination.queue, key=functools.partial(_shedding_rank, state))
+        final_answer.finish(state, lowest)
 
 
 def _shedding_rank(state: PolicyState, message: Message) -> tuple[bool, bool, float, int]:
--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -27,9 +27,9 @@
         candidate = selected.pop(number)
         _send_call(state, candidate.message, candidate.endpoint)
         destination = state.destinations[number]
-        single = state.settings.destination_types[destination.type_index].max_batch_size == 1
-        if destination.queue and single and (following := selection.select(state, destination)):
-            selected[number] = following
+        unbatched = state.settings.destination_types[destination.type_index].max_batch_size == 1
+        if destination.queue and unbatched and (next_candidate := selection.select(state, destination)):
+            selected[number] = next_candidate
 
 
 def _send_call(state: PolicyState, message: Message, endpoint: Endpoint) -> None:
@@ -37,8 +37,10 @@
     call = Call(endpoint, state.now_us, endpoint_was_idle=not endpoint.in_flight)
     state.count_in_flight(call, 1)
     endpoint.in_flight[id(call)] = call
-    single = message.message_class.idempotency is model.Idempotency.NON_IDEMPOTENT
-    call.require_new_connection = single and connection_reuse.resets_in_excess(state)
+    non_idempotent = message.message_class.idempotency is model.Idempotency.NON_IDEMPOTENT
+    call.require_new_connection = non_idempotent and connection_reuse.reused_connections_reset_more_often(
+        state
+    )
     _take_idle_connection(state, call)
     if group.rate_limit_per_s:
         group.bucket.tokens -= 1.0
@@ -54,14 +56,16 @@
 def _take_idle_connection(state: PolicyState, call: Call) -> None:
     """The server uses the connection that came free last; ones too old to be trusted are closed first."""
     endpoint, now = call.endpoint, state.now_us
-    oldest_us = now - state.statistics.idle_reuse_limit_us
+    oldest_reusable_us = now - state.statistics.idle_reuse_limit_us
     if endpoint.idle_since_us and not call.require_new_connection:
         newest_us = endpoint.idle_since_us[-1]
-        if newest_us > oldest_us:
+        if newest_us > oldest_reusable_us:
             call.connection_idle_us = now - newest_us
         elif newest_us > now - state.settings.connection_idle_timeout_us:
             state.actions.append(model.CloseIdleConnections(endpoint.id))
-    endpoint.idle_since_us = [since_us for since_us in endpoint.idle_since_us if since_us > oldest_us]
+    endpoint.idle_since_us = [
+        since_us for since_us in endpoint.idle_since_us if since_us > oldest_reusable_us
+    ]
     if not call.require_new_connection:
         endpoint.idle_since_us = endpoint.idle_since_us[:-1]
 
@@ -69,8 +73,10 @@
 def _start_attempt(state: PolicyState, message: Message, call: Call) -> None:
     reused_us, new_us = timeouts.attempt_timeouts_us(state, message, call)
     state.start_attempt(message, call)
-    likely_us = new_us if call.connection_idle_us < 0 else reused_us
-    action = model.SendAttempt(message.id, call.endpoint.id, likely_us, new_us, call.require_new_connection)
+    expected_timeout_us = new_us if call.connection_idle_us < 0 else reused_us
+    action = model.SendAttempt(
+        message.id, call.endpoint.id, expected_timeout_us, new_us, call.require_new_connection
+    )
     state.actions.append(action)
 
 
@@ -119,7 +125,7 @@
 
 def _record_call_outcome(state: PolicyState, call: Call, event: model.AttemptEnded) -> None:
     endpoint, group, circuit = call.endpoint, call.endpoint.group, call.endpoint.circuit
-    if not call.outcome_recorded and not _is_silent(call, event):
+    if not call.outcome_recorded and not _is_inconclusive(call, event):
         call.outcome_recorded = True
         if event.result is not AttemptResult.REJECTED:
             timeouts.record_slot_occupancy(state, group, event.latency_us)
@@ -136,7 +142,7 @@
         group.recovery.bucket.tokens += 1.0
 
 
-def _is_silent(call: Call, event: model.AttemptEnded) -> bool:
+def _is_inconclusive(call: Call, event: model.AttemptEnded) -> bool:
     """A message of a batch that had ended, or whose own time was up first, says nothing of its call."""
     if event.result in (AttemptResult.CANCELLED, AttemptResult.NOT_ATTEMPTED):
         return True
@@ -148,7 +154,7 @@
     wait_us = 0 if not_attempted else retry.backoff_us(state, message.attempts - 1)
     last_start_us = retry.last_start_us(state, message)
     overloaded = event.result is AttemptResult.REJECTED and not call.connection_limit_reached
-    if overloaded and not retry.outlasts_rejection(state, message):
+    if overloaded and not retry.retries_after_rejection(state, message):
         final_answer.finish(state, message, event.retry_after_us)
     elif message.attempts >= state.max_attempts or state.now_us + wait_us >= last_start_us:
         final_answer.finish(state, message)
--- a/message_relay/policy/circuit_breaker.py
+++ b/message_relay/policy/circuit_breaker.py
@@ -4,11 +4,11 @@
 from message_relay.policy import slow_start
 from message_relay.policy_state import Call, CircuitBreaker, Endpoint, PolicyState
 
-FAILURE_MEMORY = 0.25  # weight of the newest outcome in a failure rate
+FAILURE_EWMA_WEIGHT = 0.25  # weight of the newest outcome in a failure rate
 OPEN_FAILURE_RATE = 0.5
 FAILURES_TO_OPEN = 3  # consecutive failures that raise the failure rate from 0 to OPEN_FAILURE_RATE
 TWO_FAILURES_RATE = 0.4  # and two this one
-FORGIVEN_FAILURE_RATE = OPEN_FAILURE_RATE * 0.8  # what a first answer leaves of it at most
+MAX_FAILURE_RATE_AFTER_CLOSING = OPEN_FAILURE_RATE * 0.8  # what a first answer leaves of it at most
 HALF_OPEN_INTERVAL_US = 400_000  # upper bound of the first interval between half-open attempts
 MAX_HALF_OPEN_INTERVAL_US = 2_500_000
 
@@ -61,22 +61,22 @@
     """Close the circuit; after an outage the endpoint starts slowly."""
     circuit = endpoint.circuit
     if not circuit.open:
-        if slow_start.is_over(state, circuit):
+        if slow_start.is_complete(state, circuit):
             circuit.slow_start_since_us = -1
         return
     circuit.open = False
     if transient_fault and not state.large_fleet:
         state.log(f"circuit closed: it was a transient fault, endpoint={endpoint.id}")
-    elif not state.large_fleet or circuit.failure_rate >= TWO_FAILURES_RATE * (1 - FAILURE_MEMORY):
+    elif not state.large_fleet or circuit.failure_rate >= TWO_FAILURES_RATE * (1 - FAILURE_EWMA_WEIGHT):
         circuit.slow_start_since_us = circuit.bucket.updated_at_us = state.now_us
         if not state.large_fleet:  # a whole token each, on top of the half-open attempts, is too much
             circuit.bucket.tokens = state.random.random()
         state.log(f"circuit closed: slow start, endpoint={endpoint.id}")
     circuit.half_open_interval_us = 0
-    circuit.failure_rate = min(circuit.failure_rate, FORGIVEN_FAILURE_RATE)
+    circuit.failure_rate = min(circuit.failure_rate, MAX_FAILURE_RATE_AFTER_CLOSING)
 
 
-def admits_half_open(state: PolicyState, circuit: CircuitBreaker, fast_retry: bool) -> bool:
+def half_open_attempt_allowed(state: PolicyState, circuit: CircuitBreaker, fast_retry: bool) -> bool:
     """Whether an endpoint whose circuit is open may get a half-open attempt now."""
     if circuit.half_open_call is not None:
         return False
--- a/message_relay/policy/concurrency_window.py
+++ b/message_relay/policy/concurrency_window.py
@@ -34,7 +34,7 @@
         endpoint.connection_limit_at_us = state.now_us
 
 
-def slots_taken(state: PolicyState, destination: Destination) -> bool:
+def slots_exhausted(state: PolicyState, destination: Destination) -> bool:
     """Whether no slot is left for one more call to the destination."""
     return (
         state.in_flight >= state.settings.call_slots
--- a/message_relay/policy/delivery_policy.py
+++ b/message_relay/policy/delivery_policy.py
@@ -12,7 +12,7 @@
 from message_relay.policy_state import PolicyState
 
 LIMIT_FIELD = "x1"  # a load report's name for the limit, in calls a second of all instances together
-LIMIT_LEFT_FIELD = "x0"  # and for the share of it that is left just now
+LIMIT_REMAINING_FIELD = "x0"  # and for the share of it that is left just now
 
 
 class DeliveryPolicy:
@@ -66,8 +66,8 @@
         values = dict(zip(settings.load_report_fields, event.values, strict=False))
         limit = values.get(LIMIT_FIELD, 0.0)
         if endpoint and 0 < limit < float("inf") and not settings.rate_limits_advertised:
-            left_share = values.get(LIMIT_LEFT_FIELD, -1.0)
-            rate_limiter.record_limit(self.state, endpoint.group, limit, left_share)
+            remaining_share = values.get(LIMIT_REMAINING_FIELD, -1.0)
+            rate_limiter.record_reported_limit(self.state, endpoint.group, limit, remaining_share)
 
     def _apply_list(self, event: model.EndpointListReceived) -> None:
         if event.form is model.EndpointListForm.FAILED:
@@ -82,7 +82,7 @@
     def _cordon(self, event: model.EndpointCordoned) -> None:
         if endpoint := self.state.endpoints.get(event.endpoint):
             if endpoint.cordoned and not event.cordoned:  # operators restart what they cordon
-                slow_start.restart_cold(self.state, endpoint)
+                slow_start.reset_for_slow_start(self.state, endpoint)
             endpoint.cordoned = event.cordoned
 
     def _import_state(self, event: model.StateImported) -> None:
--- a/message_relay/policy/eligibility.py
+++ b/message_relay/policy/eligibility.py
@@ -15,25 +15,25 @@
 from message_relay.policy_state import Endpoint, Message, PolicyState
 
 # Share of ambiguous failures at an endpoint above which non-idempotent messages are deferred.
-AMBIGUOUS_FAILURE_LIMIT = 0.15
+MAX_AMBIGUOUS_FAILURE_RATE = 0.15
 AMBIGUOUS_FAILURE_WAIT_US = 250_000
-ROUND_TRIPS_TO_WAIT = 4  # they wait only with more time left than so many
+MIN_ROUND_TRIPS_TO_WAIT = 4  # they wait only with more time left than so many
 
 
 def endpoint_admits(state: PolicyState, endpoint: Endpoint, fast_retry: bool = False) -> bool:
     """Whether the endpoint may get a call, if slots and windows allow; fast_retry: for a fast failure."""
     group, now, circuit = endpoint.group, state.now_us, endpoint.circuit
-    out_of_use = endpoint.cordoned or endpoint.state is not EndpointState.READY
-    if out_of_use or len(endpoint.in_flight) >= endpoint.connection_limit:
+    out_of_service = endpoint.cordoned or endpoint.state is not EndpointState.READY
+    if out_of_service or len(endpoint.in_flight) >= endpoint.connection_limit:
         return False
     if now < group.retry_after_until_us:
         state.schedule_tick(group.retry_after_until_us)
         return False
-    limited = group.recovery.since_us >= 0
-    if limited and (wait_us := recovery_budget.wait_us(state, group)) and not fast_retry:
+    in_recovery = group.recovery.since_us >= 0
+    if in_recovery and (wait_us := recovery_budget.wait_us(state, group)) and not fast_retry:
         state.schedule_tick(now + wait_us)
         return False
-    if circuit.open and not circuit_breaker.admits_half_open(state, circuit, fast_retry):
+    if circuit.open and not circuit_breaker.half_open_attempt_allowed(state, circuit, fast_retry):
         return False
     if circuit.slow_start_since_us >= 0 and (wait_us := slow_start.wait_us(state, endpoint)):
         state.schedule_tick(now + wait_us)
@@ -49,22 +49,22 @@
 def attempt_allowed(state: PolicyState, message: Message, endpoint: Endpoint) -> bool:
     """Whether the message may be attempted at an endpoint that admits calls."""
     group, circuit = endpoint.group, endpoint.circuit
-    left_us = min(message.deadline_us, state.shutdown_at_us) - state.now_us - state.deadline_margin_us
-    if state.shutdown_at_us < math.inf and left_us < timeouts.answer_timeout_us(state, group):
+    remaining_us = min(message.deadline_us, state.shutdown_at_us) - state.now_us - state.deadline_margin_us
+    if state.shutdown_at_us < math.inf and remaining_us < timeouts.answer_timeout_us(state, group):
         return False  # it might be cut off at the end
-    if message.closed or message.in_flight or message.attempts >= state.max_attempts or left_us <= 0:
+    if message.closed or message.in_flight or message.attempts >= state.max_attempts or remaining_us <= 0:
         return False
     if state.now_us < message.ready_at_us:
         state.schedule_tick(message.ready_at_us)
         return False
-    unpaid = state.large_fleet and circuit.open and circuit.bucket.tokens < 1.0
-    if not message.fast_retry and (unpaid or recovery_budget.wait_us(state, group)):
+    no_half_open_token = state.large_fleet and circuit.open and circuit.bucket.tokens < 1.0
+    if not message.fast_retry and (no_half_open_token or recovery_budget.wait_us(state, group)):
         return False
     if message.possibly_applied_at_us >= 0 and not _repeat_allowed(state, message, endpoint):
         return False
     if message.order_key and not _order_allows(state, message):
         return False
-    return not _waits_for_calm(state, message, endpoint, left_us)
+    return not _deferred_by_ambiguous_failures(state, message, endpoint, remaining_us)
 
 
 def _repeat_allowed(state: PolicyState, message: Message, endpoint: Endpoint) -> bool:
@@ -84,12 +84,14 @@
     return not paused and state.order_queues[message.order_key][0] is message
 
 
-def _waits_for_calm(state: PolicyState, message: Message, endpoint: Endpoint, left_us: float) -> bool:
+def _deferred_by_ambiguous_failures(
+    state: PolicyState, message: Message, endpoint: Endpoint, remaining_us: float
+) -> bool:
     """A message that must not be repeated is lost by an error: it waits while calls there fail so."""
     if message.message_class.idempotency is not Idempotency.NON_IDEMPOTENT:
         return False
-    calm = outlier_detection.ambiguous_failure_rate(state, endpoint) <= AMBIGUOUS_FAILURE_LIMIT
-    if calm or left_us <= ROUND_TRIPS_TO_WAIT * endpoint.group.latency_mean_us:
+    rate_acceptable = outlier_detection.ambiguous_failure_rate(state, endpoint) <= MAX_AMBIGUOUS_FAILURE_RATE
+    if rate_acceptable or remaining_us <= MIN_ROUND_TRIPS_TO_WAIT * endpoint.group.latency_mean_us:
         return False
     state.schedule_tick(state.now_us + AMBIGUOUS_FAILURE_WAIT_US)
     return True
--- a/message_relay/policy/final_answer.py
+++ b/message_relay/policy/final_answer.py
@@ -9,16 +9,16 @@
 
 def finish(state: PolicyState, message: Message, retry_after_us: int = 0) -> None:
     """End a message: reject it if earlier attempts prove that another one does no harm, else fail it."""
-    left_us, longest_us = message.deadline_us - state.now_us, state.settings.max_retry_after_us
+    remaining_us, retry_after_limit_us = message.deadline_us - state.now_us, state.settings.max_retry_after_us
     if not _resubmission_is_safe(message):
         state.actions.append(FailMessage(message.id))
     else:
-        if left_us > max(longest_us, message.message_class.latency_objective_us):
+        if remaining_us > max(retry_after_limit_us, message.message_class.latency_objective_us):
             state.rejections_since_resubmission += 1
         # None was given: half the longest that clients heed, where that leaves the message some time.
-        if not retry_after_us and left_us > longest_us:
-            retry_after_us = longest_us // 2
-        state.actions.append(RejectMessage(message.id, min(retry_after_us, longest_us)))
+        if not retry_after_us and remaining_us > retry_after_limit_us:
+            retry_after_us = retry_after_limit_us // 2
+        state.actions.append(RejectMessage(message.id, min(retry_after_us, retry_after_limit_us)))
     state.close_message(message)
 
 
--- a/message_relay/policy/membership.py
+++ b/message_relay/policy/membership.py
@@ -28,4 +28,4 @@
         endpoint = state.add_endpoint(entry)
     endpoint.state = entry.state
     if state.settings.rate_limits_advertised and entry.rate_limit_per_s > 0:
-        rate_limiter.advertise(state, endpoint.group, entry.rate_limit_per_s)
+        rate_limiter.record_listed_limit(state, endpoint.group, entry.rate_limit_per_s)
--- a/message_relay/policy/outlier_detection.py
+++ b/message_relay/policy/outlier_detection.py
@@ -9,19 +9,19 @@
     recovery_budget,
     timeouts,
 )
-from message_relay.policy.circuit_breaker import FAILURE_MEMORY
+from message_relay.policy.circuit_breaker import FAILURE_EWMA_WEIGHT
 from message_relay.policy.slow_start import MAX_TRANSIENT_FAULT_US
 from message_relay.policy_state import Call, Endpoint, EndpointGroup, PolicyState
 
-AMBIGUOUS_FADE_SHARE = 0.6  # the share of ambiguous failures fades in this part of the slow start's time
+AMBIGUOUS_DECAY_SHARE = 0.6  # the share of ambiguous failures fades in this part of the slow start's time
 LOST_CALL_FACTOR = 4.0  # with 1 in so many calls lost, time-outs are no evidence
 # What answered this lately is not down: a connection that failed met the connection limit.
 RECENT_SUCCESS_US = 1_000_000
-SHUT_DOWN_RETRY_AFTER_US = (
+MIN_SHUTDOWN_RETRY_AFTER_US = (
     2_500_000  # a longer one is a destination that was shut down, not the end of a span
 )
-SUCCESS_RATE_SPAN_US = 4e6
-SUCCESS_RATE_STEP = 0.25  # calls a second that each success adds: one call in SUCCESS_RATE_SPAN_US
+SUCCESS_RATE_DECAY_US = 4e6
+SUCCESS_RATE_STEP = 0.25  # calls a second that each success adds: one call in SUCCESS_RATE_DECAY_US
 
 
 def record_call_outcome(state: PolicyState, call: Call, event: AttemptEnded) -> None:
@@ -29,7 +29,9 @@
     connection_reuse.record(state, event.result, call)
     if event.result is AttemptResult.OK:
         connection_reuse.record_success(state, call)
-        _record_success(state, call.endpoint, timeouts.without_setup_us(state, call, event.latency_us))
+        _record_success(
+            state, call.endpoint, timeouts.latency_without_setup_us(state, call, event.latency_us)
+        )
         return
     call.connection_limit_reached = _connection_limit_reached(state, call, event)
     if call.connection_limit_reached:
@@ -42,8 +44,8 @@
     """Rejected on a new connection while reused ones are answered: the connection limit, not a rate limit."""
     if event.result is not AttemptResult.REJECTED or event.retry_after_us or state.large_fleet:
         return False
-    answers = state.now_us - call.endpoint.last_success_at_us < MAX_TRANSIENT_FAULT_US
-    return call.connection_idle_us < 0 and answers and not call.endpoint_was_idle
+    responds = state.now_us - call.endpoint.last_success_at_us < MAX_TRANSIENT_FAULT_US
+    return call.connection_idle_us < 0 and responds and not call.endpoint_was_idle
 
 
 def _is_failure(state: PolicyState, call: Call, event: AttemptEnded) -> bool:
@@ -56,7 +58,7 @@
     if event.result is AttemptResult.REJECTED:
         rate_limiter.record_rejection(state, group)
         rate_limiter.record_overload(state, group, event.retry_after_us)
-        if event.retry_after_us > SHUT_DOWN_RETRY_AFTER_US:
+        if event.retry_after_us > MIN_SHUTDOWN_RETRY_AFTER_US:
             _record_shutdown(state, endpoint)
             return False
         return since_success_us >= RECENT_SUCCESS_US
@@ -86,16 +88,16 @@
     endpoint, circuit = call.endpoint, call.endpoint.circuit
     if result in (AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET):
         rate = ambiguous_failure_rate(state, endpoint)
-        endpoint.ambiguous_failure_rate = rate + FAILURE_MEMORY * (1 - rate)
+        endpoint.ambiguous_failure_rate = rate + FAILURE_EWMA_WEIGHT * (1 - rate)
         endpoint.ambiguous_failure_at_us = state.now_us
     if result is not AttemptResult.REJECTED:
         endpoint.last_failure_at_us = state.now_us
         recovery_budget.record_failure(state, endpoint.group)
     # Where many calls are lost anyway, one without an answer says little of its endpoint.
     timed_out = result is AttemptResult.TIMEOUT
-    expected = min(1.0, LOST_CALL_FACTOR * state.statistics.lost_call_rate) if timed_out else 0.0
-    endpoint.failure_rate += FAILURE_MEMORY * (1 - endpoint.failure_rate) * (1 - expected)
-    circuit.failure_rate += FAILURE_MEMORY * (1 - circuit.failure_rate) * (1 - expected)
+    expected_loss = min(1.0, LOST_CALL_FACTOR * state.statistics.lost_call_rate) if timed_out else 0.0
+    endpoint.failure_rate += FAILURE_EWMA_WEIGHT * (1 - endpoint.failure_rate) * (1 - expected_loss)
+    circuit.failure_rate += FAILURE_EWMA_WEIGHT * (1 - circuit.failure_rate) * (1 - expected_loss)
     circuit_breaker.record_failure(state, endpoint, result, call)
 
 
@@ -104,13 +106,13 @@
     transient_fault = state.now_us - endpoint.last_success_at_us < MAX_TRANSIENT_FAULT_US
     concurrency_window.raise_connection_limit(state, endpoint)
     endpoint.last_success_at_us = state.now_us
-    endpoint.failure_rate *= 1 - FAILURE_MEMORY
-    endpoint.circuit.failure_rate *= 1 - FAILURE_MEMORY
-    endpoint.ambiguous_failure_rate = ambiguous_failure_rate(state, endpoint) * (1 - FAILURE_MEMORY)
+    endpoint.failure_rate *= 1 - FAILURE_EWMA_WEIGHT
+    endpoint.circuit.failure_rate *= 1 - FAILURE_EWMA_WEIGHT
+    endpoint.ambiguous_failure_rate = ambiguous_failure_rate(state, endpoint) * (1 - FAILURE_EWMA_WEIGHT)
     endpoint.ambiguous_failure_at_us = state.now_us
     if latency_us:
         timeouts.record_latency(state, group, latency_us)
-    _count_success(state, group)
+    _update_success_rate(state, group)
     rate_limiter.record_success(state, group)
     concurrency_window.grow(state, group)
     recovery_budget.record_success(state, group)
@@ -118,14 +120,14 @@
     circuit_breaker.record_success(state, endpoint, transient_fault)
 
 
-def _count_success(state: PolicyState, group: EndpointGroup) -> None:
-    fade = max(0.0, 1 - (state.now_us - group.last_success_at_us) / SUCCESS_RATE_SPAN_US)
-    group.success_rate_per_s = group.success_rate_per_s * fade + SUCCESS_RATE_STEP
+def _update_success_rate(state: PolicyState, group: EndpointGroup) -> None:
+    decay = max(0.0, 1 - (state.now_us - group.last_success_at_us) / SUCCESS_RATE_DECAY_US)
+    group.success_rate_per_s = group.success_rate_per_s * decay + SUCCESS_RATE_STEP
     group.last_success_at_us = state.now_us
 
 
 def ambiguous_failure_rate(state: PolicyState, endpoint: Endpoint) -> float:
     """Share of calls that failed in a way after which the message may have been applied; it fades."""
-    fade_us = max(1.0, AMBIGUOUS_FADE_SHARE * state.settings.slow_start_us)
+    decay_us = max(1.0, AMBIGUOUS_DECAY_SHARE * state.settings.slow_start_us)
     since_us = state.now_us - endpoint.ambiguous_failure_at_us
-    return endpoint.ambiguous_failure_rate * max(0.0, 1 - since_us / fade_us)
+    return endpoint.ambiguous_failure_rate * max(0.0, 1 - since_us / decay_us)
--- a/message_relay/policy/rate_limiter.py
+++ b/message_relay/policy/rate_limiter.py
@@ -3,22 +3,22 @@
 import math
 
 from message_relay.policy import concurrency_window, retry
-from message_relay.policy.slow_start import ASSUMED_HEADROOM
+from message_relay.policy.slow_start import ASSUMED_HEADROOM_FACTOR
 from message_relay.policy_state import EndpointGroup, PolicyState
 
-REJECTION_MEMORY = 0.5  # weight of the newest call in the share of rejected ones, of a group
-TYPE_REJECTION_MEMORY = 1 / 16  # and of a destination type
-BURST_S = 0.8  # capacity of a bucket, in seconds of its rate
-COSTLY_BURST_S = 0.4  # the same where a rejected call has a cost
-OVERLOAD_CUT = 0.75  # on overload the rate shrinks to this share, once a round trip
-GROWTH = 0.1  # and a success adds this share of the advertised (or first learned) rate
-NEAR_REJECTED_RATE = 0.9  # share of the rate that was rejected last from which the rate grows slowly
-CALM_US = 5_000_000  # time after a rejection in which the slow growth returns to full speed
-MIN_GROWTH_SHARE = 0.1
-SCARCE_SHARE = 0.1  # with less than this of a limit left for all, this instance keeps to its part
-MIN_ADVERTISED_SHARE = 0.4  # the rate does not fall further than to this part of the advertised one
+REJECTION_EWMA_WEIGHT = 0.5  # weight of the newest call in the share of rejected ones, of a group
+TYPE_REJECTION_EWMA_WEIGHT = 1 / 16  # and of a destination type
+BURST_CAPACITY_S = 0.8  # capacity of a bucket, in seconds of its rate
+COSTLY_BURST_CAPACITY_S = 0.4  # the same where a rejected call has a cost
+OVERLOAD_DECREASE_FACTOR = 0.75  # on overload the rate shrinks to this share, once a round trip
+INCREASE_SHARE = 0.1  # and a success adds this share of the advertised (or first learned) rate
+NEAR_REJECTED_RATE_SHARE = 0.9  # share of the rate that was rejected last from which the rate grows slowly
+REJECTION_EXPIRY_US = 5_000_000  # time after a rejection in which the slow growth returns to full speed
+MIN_INCREASE_FACTOR = 0.1
+SCARCE_REMAINING_SHARE = 0.1  # with less than this of a limit left for all, this instance keeps to its part
+MIN_SHARE_OF_ADVERTISED_RATE = 0.4  # the rate does not fall further than to this part of the advertised one
 MIN_RATE_PER_S = 0.2  # lower bound of the rate, outside of large fleets
-MIN_LEARNED_RATE_PER_S = 0.5  # lower bound of a first rate that is derived from measured successes
+MIN_MEASURED_RATE_PER_S = 0.5  # lower bound of a first rate that is derived from measured successes
 
 
 def tokens(state: PolicyState, group: EndpointGroup) -> float:
@@ -27,44 +27,46 @@
     if not rate:
         return 1.0
     if state.now_us > bucket.updated_at_us:
-        burst_s = COSTLY_BURST_S if state.settings.rejected_call_cost else BURST_S
+        burst_s = COSTLY_BURST_CAPACITY_S if state.settings.rejected_call_cost else BURST_CAPACITY_S
         bucket.refill(state.now_us, rate, max(1.0, rate * burst_s))
     return bucket.tokens
 
 
-def advertise(state: PolicyState, group: EndpointGroup, rate_limit_per_s: float) -> None:
+def record_listed_limit(state: PolicyState, group: EndpointGroup, rate_limit_per_s: float) -> None:
     """The endpoint list gives a rate limit, of all instances together."""
-    share = rate_limit_per_s / state.settings.instance_count
-    if abs(share - group.advertised_rate_per_s) > 1e-6 * share:
-        group.advertised_rate_per_s = share
-        _pace_at(state, group, share)
+    instance_limit = rate_limit_per_s / state.settings.instance_count
+    if abs(instance_limit - group.advertised_rate_per_s) > 1e-6 * instance_limit:
+        group.advertised_rate_per_s = instance_limit
+        _set_rate_limit(state, group, instance_limit)
 
 
-def record_limit(state: PolicyState, group: EndpointGroup, limit_per_s: float, left_share: float) -> None:
+def record_reported_limit(
+    state: PolicyState, group: EndpointGroup, limit_per_s: float, remaining_share: float
+) -> None:
     """A load report tells the limit of all instances together: the pace keeps its ratio to this one's part.
 
-    Rejections alone tell late of a limit that fell, and not at all of one that rose. ``left_share`` is the
-    share of the limit that is left just now, below 0 if unknown.
+    Rejections alone tell late of a limit that fell, and not at all of one that rose. ``remaining_share`` is
+    the share of the limit that is left just now, below 0 if unknown.
     """
-    share, before = limit_per_s / state.settings.instance_count, group.advertised_rate_per_s
-    if before:
-        group.rate_limit_per_s = group.rate_limit_per_s * share / before
-        group.last_rejected_rate_per_s = group.last_rejected_rate_per_s * share / before
+    instance_limit, previous_limit = limit_per_s / state.settings.instance_count, group.advertised_rate_per_s
+    if previous_limit:
+        group.rate_limit_per_s = group.rate_limit_per_s * instance_limit / previous_limit
+        group.last_rejected_rate_per_s = group.last_rejected_rate_per_s * instance_limit / previous_limit
     else:
-        _pace_at(state, group, share)
+        _set_rate_limit(state, group, instance_limit)
         group.bucket.tokens, group.bucket.updated_at_us = (
             0.0,
             state.now_us,
         )  # the call that told it was a part
-    group.advertised_rate_per_s = share
-    if 0 <= left_share < SCARCE_SHARE:  # more than its part is taken from the others
-        group.rate_limit_per_s = min(group.rate_limit_per_s, share)
+    group.advertised_rate_per_s = instance_limit
+    if 0 <= remaining_share < SCARCE_REMAINING_SHARE:  # more than its part is taken from the others
+        group.rate_limit_per_s = min(group.rate_limit_per_s, instance_limit)
 
 
-def _pace_at(state: PolicyState, group: EndpointGroup, share: float) -> None:
+def _set_rate_limit(state: PolicyState, group: EndpointGroup, instance_limit: float) -> None:
     # In a large fleet an equal part of a rate is a call in many seconds, and who needs it is chance: paced
     # only from a rejection on, until no more come and nothing waits.
-    group.rate_limit_per_s = group.last_rejected_rate_per_s = 0.0 if state.large_fleet else share
+    group.rate_limit_per_s = group.last_rejected_rate_per_s = 0.0 if state.large_fleet else instance_limit
 
 
 def record_overload(state: PolicyState, group: EndpointGroup, retry_after_us: int) -> None:
@@ -73,7 +75,7 @@
         round_trip_us = max(int(group.latency_mean_us), 2 * state.settings.tick_interval_us)
         group.rate_cut_until_us = state.now_us + round_trip_us
         concurrency_window.halve(group)
-        _cut(state, group)
+        _decrease_rate(state, group)
         group.consecutive_rejections += 1
     wait_us = retry_after_us or retry.backoff_us(state, group.consecutive_rejections)
     group.retry_after_until_us = max(group.retry_after_until_us, state.now_us + wait_us)
@@ -82,32 +84,32 @@
     group.bucket.updated_at_us = max(state.now_us, group.retry_after_until_us)
 
 
-def _cut(state: PolicyState, group: EndpointGroup) -> None:
-    rate, seen = group.rate_limit_per_s, group.success_rate_per_s
-    group.last_rejected_rate_per_s = rate or seen * ASSUMED_HEADROOM
+def _decrease_rate(state: PolicyState, group: EndpointGroup) -> None:
+    rate, success_rate = group.rate_limit_per_s, group.success_rate_per_s
+    group.last_rejected_rate_per_s = rate or success_rate * ASSUMED_HEADROOM_FACTOR
     if rate:
-        least = 0.0 if state.large_fleet else MIN_RATE_PER_S
-        floor = group.advertised_rate_per_s * MIN_ADVERTISED_SHARE
-        group.rate_limit_per_s = max(rate * OVERLOAD_CUT, floor, least)
+        min_rate = 0.0 if state.large_fleet else MIN_RATE_PER_S
+        min_advertised = group.advertised_rate_per_s * MIN_SHARE_OF_ADVERTISED_RATE
+        group.rate_limit_per_s = max(rate * OVERLOAD_DECREASE_FACTOR, min_advertised, min_rate)
     elif state.large_fleet:
         group.rate_limit_per_s = group.last_rejected_rate_per_s = group.advertised_rate_per_s
         group.bucket.tokens, group.bucket.updated_at_us = state.random.random(), state.now_us
     elif group.last_success_at_us:  # before any success the wait and a window of one will do
-        group.rate_limit_per_s = max(MIN_LEARNED_RATE_PER_S, seen * OVERLOAD_CUT)
+        group.rate_limit_per_s = max(MIN_MEASURED_RATE_PER_S, success_rate * OVERLOAD_DECREASE_FACTOR)
 
 
 def record_rejection(state: PolicyState, group: EndpointGroup) -> None:
     """Count a rejection in the shares of rejected calls."""
-    group.rejection_rate += (1 - group.rejection_rate) * REJECTION_MEMORY
+    group.rejection_rate += (1 - group.rejection_rate) * REJECTION_EWMA_WEIGHT
     rates, type_index = state.statistics.rejection_rates, group.destination.type_index
-    rates[type_index] += (1 - rates[type_index]) * TYPE_REJECTION_MEMORY
+    rates[type_index] += (1 - rates[type_index]) * TYPE_REJECTION_EWMA_WEIGHT
 
 
 def record_success(state: PolicyState, group: EndpointGroup) -> None:
     """Count a success in the shares of rejected calls."""
     group.consecutive_rejections = 0
-    group.rejection_rate *= 1 - REJECTION_MEMORY
-    state.statistics.rejection_rates[group.destination.type_index] *= 1 - TYPE_REJECTION_MEMORY
+    group.rejection_rate *= 1 - REJECTION_EWMA_WEIGHT
+    state.statistics.rejection_rates[group.destination.type_index] *= 1 - TYPE_REJECTION_EWMA_WEIGHT
 
 
 def grow(state: PolicyState, group: EndpointGroup) -> None:
@@ -117,9 +119,13 @@
     rate, since_cut_us = group.rate_limit_per_s, state.now_us - group.rate_cut_until_us
     if not rate:
         return
-    near = rate >= NEAR_REJECTED_RATE * group.last_rejected_rate_per_s
-    step = GROWTH * min(1.0, max(MIN_GROWTH_SHARE, since_cut_us / CALM_US)) if near else GROWTH
-    most = group.advertised_rate_per_s * state.settings.instance_count or math.inf
-    group.rate_limit_per_s = min(most, rate + step * (group.advertised_rate_per_s or rate))
-    if state.large_fleet and not group.destination.queue and since_cut_us > CALM_US:
+    near_rejected_rate = rate >= NEAR_REJECTED_RATE_SHARE * group.last_rejected_rate_per_s
+    step = (
+        INCREASE_SHARE * min(1.0, max(MIN_INCREASE_FACTOR, since_cut_us / REJECTION_EXPIRY_US))
+        if near_rejected_rate
+        else INCREASE_SHARE
+    )
+    max_rate = group.advertised_rate_per_s * state.settings.instance_count or math.inf
+    group.rate_limit_per_s = min(max_rate, rate + step * (group.advertised_rate_per_s or rate))
+    if state.large_fleet and not group.destination.queue and since_cut_us > REJECTION_EXPIRY_US:
         group.rate_limit_per_s = 0.0
--- a/message_relay/policy/selection.py
+++ b/message_relay/policy/selection.py
@@ -13,7 +13,7 @@
     2.0  # what is put off for want of slots waits so many times the queue: new ones come first
 )
 FAILURE_RATE_STEPS = 4  # endpoints are told apart by their failure rate in so many steps
-REJECTION_AVERSION = 1.05  # less the share of rejected calls: the weight of an endpoint in a large fleet
+REJECTION_RATE_OFFSET = 1.05  # less the share of rejected calls: the weight of an endpoint in a large fleet
 
 
 EndpointRank = tuple[bool, bool, int, bool, float, int, float]
@@ -30,27 +30,31 @@
 
 def select(state: PolicyState, destination: Destination) -> Candidate | None:
     """The message of a destination that loses most by waiting, and the endpoint for it."""
-    if concurrency_window.slots_taken(state, destination):
+    if concurrency_window.slots_exhausted(state, destination):
         return None
     fast_retry = _fast_retry_ready(state, destination)
-    admitting = [
+    admitting_endpoints = [
         endpoint
         for group in destination.groups
         if not concurrency_window.is_full(group)
         for endpoint in group.endpoints.values()
         if endpoint_admits(state, endpoint, fast_retry)
     ]
-    if not admitting:
+    if not admitting_endpoints:
         return None
-    loss, best = _loss_by_waiting(state, destination), None
+    weight_change, best = _weight_change_by_waiting(state, destination), None
     for message in destination.queue:
         unattempted = message.restored_unattempted
-        order = (-math.inf, message.deadline_us) if unattempted else (loss(message), message.sequence)
+        order = (
+            (-math.inf, message.deadline_us) if unattempted else (weight_change(message), message.sequence)
+        )
         if best is None or order < best.order:
-            fit = [endpoint for endpoint in admitting if attempt_allowed(state, message, endpoint)]
-            if fit:
+            allowed = [
+                endpoint for endpoint in admitting_endpoints if attempt_allowed(state, message, endpoint)
+            ]
+            if allowed:
                 best = Candidate(
-                    order, message, min(fit, key=functools.partial(_endpoint_rank, state, message))
+                    order, message, min(allowed, key=functools.partial(_endpoint_rank, state, message))
                 )
     batch_size = state.settings.destination_types[destination.type_index].max_batch_size
     if best is None or batch_size == 1:
@@ -59,7 +63,7 @@
     # that is not full is ranked as one message: it may grow while it waits, and takes as long then.
     companions = batch_companions(state, best.message, best.endpoint)
     if len(companions) == batch_size - 1:
-        best.order = (best.order[0] + sum(map(loss, companions)), best.order[1])
+        best.order = (best.order[0] + sum(map(weight_change, companions)), best.order[1])
     return best
 
 
@@ -70,7 +74,7 @@
     return any(message.fast_retry and message.ready_at_us <= state.now_us for message in destination.queue)
 
 
-def _loss_by_waiting(state: PolicyState, destination: Destination) -> functools.partial[float]:
+def _weight_change_by_waiting(state: PolicyState, destination: Destination) -> functools.partial[float]:
     """A function of a message: what it loses by going later, for each time unit that its slot is taken.
 
     Where slots are short, what waits for them waits for all calls queued, and one that keeps its slot long
@@ -83,10 +87,12 @@
     waiting = max(0, len(state.messages) - state.in_flight)
     slot_wait_us = state.statistics.slot_occupancy_us * waiting / state.settings.call_slots
     late_us = soon_us + max(len(destination.queue) / rate * 1e6, SLOT_QUEUE_FACTOR * slot_wait_us)
-    return functools.partial(_loss, state, soon_us, late_us, occupancy_us)
+    return functools.partial(_weight_change, state, soon_us, late_us, occupancy_us)
 
 
-def _loss(state: PolicyState, soon_us: float, late_us: float, occupancy_us: float, message: Message) -> float:
+def _weight_change(
+    state: PolicyState, soon_us: float, late_us: float, occupancy_us: float, message: Message
+) -> float:
     return (weight_at(state, message, late_us) - weight_at(state, message, soon_us)) / occupancy_us
 
 
@@ -108,25 +114,25 @@
 def batch_companions(state: PolicyState, message: Message, endpoint: Endpoint) -> list[Message]:
     """The messages that travel in one call with this one, in the order of arrival."""
     destination = endpoint.group.destination
-    most = (
+    max_companions = (
         0
         if endpoint.circuit.open
         else state.settings.destination_types[destination.type_index].max_batch_size - 1
     )
-    if not most:
+    if not max_companions:
         return []
     others = (other for other in destination.queue if other is not message)
-    fit = [other for other in others if attempt_allowed(state, other, endpoint)]
-    return heapq.nsmallest(most, fit, key=lambda other: other.sequence)
+    allowed = [other for other in others if attempt_allowed(state, other, endpoint)]
+    return heapq.nsmallest(max_companions, allowed, key=lambda other: other.sequence)
 
 
 def _endpoint_rank(state: PolicyState, message: Message, endpoint: Endpoint) -> EndpointRank:
     """Healthy first, then not the one that just failed, one with an idle connection, the cheap one."""
-    oldest_us = state.now_us - state.statistics.idle_reuse_limit_us
-    reusable = any(since_us > oldest_us for since_us in endpoint.idle_since_us)
+    oldest_reusable_us = state.now_us - state.statistics.idle_reuse_limit_us
+    reusable = any(since_us > oldest_reusable_us for since_us in endpoint.idle_since_us)
     if state.large_fleet:  # by chance, as the rates of the endpoints are
         group = endpoint.group
-        rate = (group.advertised_rate_per_s or 1.0) * (REJECTION_AVERSION - group.rejection_rate)
+        rate = (group.advertised_rate_per_s or 1.0) * (REJECTION_RATE_OFFSET - group.rejection_rate)
         cost = state.random.expovariate(rate)
     else:
         costs = state.settings.zone_costs
--- a/message_relay/policy/slow_start.py
+++ b/message_relay/policy/slow_start.py
@@ -5,8 +5,10 @@
 MAX_TRANSIENT_FAULT_US = (
     1_000_000  # trouble that lasted no longer, with answers before and after, was no outage
 )
-SAFE_OVERLOAD_SHARE = 0.8  # of the overload factor is used: the rest is for chance
-ASSUMED_HEADROOM = 2.0  # a capacity that is not advertised is taken for this multiple of the traffic seen
+OVERLOAD_FACTOR_SHARE = 0.8  # of the overload factor is used: the rest is for chance
+ASSUMED_HEADROOM_FACTOR = (
+    2.0  # a capacity that is not advertised is taken for this multiple of the traffic seen
+)
 MIN_TARGET_RATE_PER_S = 0.5
 MIN_RATE_PER_S = 0.05
 MIN_RATE_LARGE_FLEET_PER_S = 0.001
@@ -14,8 +16,8 @@
 
 def traffic_share_per_s(state: PolicyState, group: EndpointGroup) -> float:
     """Calls a second that this instance usually sends there: of all instances, they sum to the total."""
-    least_us = state.settings.slow_start_us if state.large_fleet else MAX_TRANSIENT_FAULT_US
-    observed_us = max(state.now_us - state.started_at_us, least_us, 1)
+    min_observed_us = state.settings.slow_start_us if state.large_fleet else MAX_TRANSIENT_FAULT_US
+    observed_us = max(state.now_us - state.started_at_us, min_observed_us, 1)
     return group.advertised_rate_per_s or group.destination.arrivals / observed_us * 1e6
 
 
@@ -29,11 +31,11 @@
     if state.large_fleet:
         circuit.target_rate_per_s = traffic_share_per_s(state, group)
     else:
-        seen = group.advertised_rate_per_s or group.success_rate_per_s * ASSUMED_HEADROOM
-        circuit.target_rate_per_s = max(circuit.target_rate_per_s, seen, MIN_TARGET_RATE_PER_S)
+        estimated_rate = group.advertised_rate_per_s or group.success_rate_per_s * ASSUMED_HEADROOM_FACTOR
+        circuit.target_rate_per_s = max(circuit.target_rate_per_s, estimated_rate, MIN_TARGET_RATE_PER_S)
 
 
-def restart_cold(state: PolicyState, endpoint: Endpoint) -> None:
+def reset_for_slow_start(state: PolicyState, endpoint: Endpoint) -> None:
     """The endpoint is put back after a restart: nothing known of it holds, and it starts slowly."""
     update_target_rate(state, endpoint)
     circuit = endpoint.circuit
@@ -45,23 +47,23 @@
     state.log(f"endpoint put back: slow start, endpoint={endpoint.id}")
 
 
-def factor(state: PolicyState, circuit: CircuitBreaker) -> float:
+def traffic_factor(state: PolicyState, circuit: CircuitBreaker) -> float:
     """Share of its usual calls that a recovering endpoint may get now."""
-    first, duration_us = state.settings.slow_start_share, max(1, state.settings.slow_start_us)
+    initial_share, duration_us = state.settings.slow_start_share, max(1, state.settings.slow_start_us)
     since_us = state.now_us if circuit.open else circuit.slow_start_since_us
-    warm = first + (1 - first) * (state.now_us - since_us) / duration_us
-    return min(1.0, SAFE_OVERLOAD_SHARE * state.settings.overload_factor * warm)
+    capacity_share = initial_share + (1 - initial_share) * (state.now_us - since_us) / duration_us
+    return min(1.0, OVERLOAD_FACTOR_SHARE * state.settings.overload_factor * capacity_share)
 
 
-def is_over(state: PolicyState, circuit: CircuitBreaker) -> bool:
+def is_complete(state: PolicyState, circuit: CircuitBreaker) -> bool:
     """Whether a slow start has come to its end."""
     if circuit.slow_start_since_us < 0:
         return False
     elapsed_us = state.now_us - circuit.slow_start_since_us
-    return elapsed_us >= state.settings.slow_start_us or factor(state, circuit) >= 1
+    return elapsed_us >= state.settings.slow_start_us or traffic_factor(state, circuit) >= 1
 
 
-def credit_arrival(state: PolicyState, group: EndpointGroup) -> None:
+def credit_new_message(state: PolicyState, group: EndpointGroup) -> None:
     """In a large fleet a recovering group gets a share of the new messages: summed over the fleet it follows
     the total. None is saved up during a Retry-After: all instances would use it in the same moment.
     """
@@ -69,17 +71,17 @@
     if circuit is None or state.now_us < group.retry_after_until_us:
         return
     if circuit.open or circuit.slow_start_since_us >= 0:
-        credit = factor(state, circuit) / len(group.destination.groups)
+        credit = traffic_factor(state, circuit) / len(group.destination.groups)
         circuit.bucket.tokens = min(1.0, circuit.bucket.tokens + credit)
 
 
 def wait_us(state: PolicyState, endpoint: Endpoint) -> int:
     """Microseconds until an endpoint in slow start may get its next call, 0 if it may now."""
     circuit, group = endpoint.circuit, endpoint.group
-    sharing = 1 if state.large_fleet else group.endpoints_in_use()
-    least = MIN_RATE_LARGE_FLEET_PER_S if state.large_fleet else MIN_RATE_PER_S
+    sharing_endpoints = 1 if state.large_fleet else group.endpoints_in_use()
+    min_rate = MIN_RATE_LARGE_FLEET_PER_S if state.large_fleet else MIN_RATE_PER_S
     # The target rate may be older than the limit: after a restart in an outage no traffic is known.
-    target = max(circuit.target_rate_per_s, group.advertised_rate_per_s)
-    rate = max(factor(state, circuit) * target / sharing, least)
+    target_rate = max(circuit.target_rate_per_s, group.advertised_rate_per_s)
+    rate = max(traffic_factor(state, circuit) * target_rate / sharing_endpoints, min_rate)
     circuit.bucket.refill(state.now_us, rate)
     return 0 if circuit.bucket.tokens >= 1.0 else circuit.bucket.wait_us(rate)
