--- a/message_relay/policy/admission.py
+++ b/message_relay/policy/admission.py
@@ -1,4 +1,11 @@
-"""Admission: new messages are taken in, or rejected at once where they could not be delivered."""
+"""Admission control and load shedding.
+
+A new message is queued, or gets its final answer at once if no attempt is possible. When the number of open
+messages nears its limit, the longest queue loses the messages that are worth least. In a large fleet, new
+messages are also rejected unsent: if the queue is too long for the rate limit or, with no rate limit, at
+random with the destination's share of rejected calls. An instance there sends too few calls to estimate a
+rate, but the random rejections of all instances add up.
+"""
 
 import functools
 
@@ -6,14 +13,15 @@
 from message_relay.policy import final_answer, rate_limiter, retry, selection, slow_start
 from message_relay.policy_state import Destination, Message, PolicyState
 
-MAX_QUEUE_DELAY_SHARE = 0.5  # what would wait for its rate over this part of its time is rejected
-MAX_REJECTION_PROBABILITY = 0.9  # at most this share of new messages is rejected unsent
-MESSAGE_HEADROOM = 2  # places kept free for new messages
-CAPACITY_FREE_SHARE = 0.8  # the log says that there is capacity again below this
+# Longest queueing delay at the rate limit, as a share of the time until the message's deadline.
+MAX_QUEUE_DELAY_SHARE = 0.5
+MAX_REJECTION_PROBABILITY = 0.9  # the calls that remain show when the destination accepts calls again
+MESSAGE_HEADROOM = 2  # open messages below the limit that shedding keeps available for new ones
+CAPACITY_FREE_SHARE = 0.8  # hysteresis: capacity is logged as available only below this share of the limit
 
 
 def submit(state: PolicyState, event: MessageSubmitted) -> None:
-    """Queue a new message, or give it its final answer."""
+    """Queue a new message, or send its final answer if it is rejected or has no attempt left."""
     if event.message in state.messages:
         return
     state.sequence += 1
@@ -37,7 +45,7 @@
 
 
 def _tenant_weight_factor(state: PolicyState, tenant: int) -> float:
-    """What a message counts for: traffic over its tenant's quota is worth little."""
+    """Return the factor of a message's weight: 1 within its tenant's quota, less above it."""
     if tenant >= len(state.quotas):
         return 1.0
     quota = state.quotas[tenant]
@@ -54,7 +62,7 @@
     if capacity_reached != state.capacity_full and (capacity_reached or capacity_available):
         state.capacity_full = capacity_reached
         slots = f"in_flight={state.in_flight} slots={state.settings.call_slots}"
-        state.log(f"{'capacity reached' if capacity_reached else 'capacity is free'}, {slots}")
+        state.log(f"{'capacity reached' if capacity_reached else 'capacity available'}, {slots}")
 
 
 def _is_rejected(state: PolicyState, message: Message) -> bool:
@@ -65,20 +73,20 @@
 
 
 def _rejection_probability(state: PolicyState, destination: Destination, remaining_us: int) -> float:
-    """Share of a destination's new messages that is rejected unsent: as many as of its calls are.
+    """Return the probability with which a new message is rejected unsent.
 
-    Where rejected calls use up the limit too, a destination of many instances rejects nearly all once calls
-    pass its limit, and what clients resubmit keeps it there. One instance sees too few to pace itself, but a
-    share by chance adds up.
+    If all groups have a rate limit, it is 1 or 0, by the queueing delay. Otherwise it is the share of calls
+    that the groups reject. Where rejected calls count against a destination's limit too, it rejects nearly
+    all calls once the fleet exceeds the limit, and resubmitted messages keep the load there. One instance
+    sends too few calls to estimate a rate, but the random rejections of all instances add up.
     """
     groups = destination.groups
     if groups and all(group.rate_limit_per_s for group in groups):
         rate = sum(group.rate_limit_per_s for group in groups)
         backlog = len(destination.queue) - sum(rate_limiter.tokens(state, group) for group in groups)
         return float(backlog / rate * 1e6 > MAX_QUEUE_DELAY_SHARE * remaining_us)
-    type_rejection_rate = (
-        state.statistics.rejection_rates[destination.type_index] ** 2
-    )  # to groups that had no calls yet
+    # For groups without calls so far: that of the destination type, squared so that a low one counts little.
+    type_rejection_rate = state.statistics.rejection_rates[destination.type_index] ** 2
     rejection_rates_of_groups = [
         group.rejection_rate if group.rejection_rate or group.last_success_at_us else type_rejection_rate
         for group in groups
@@ -88,7 +96,11 @@
 
 
 def shed_load(state: PolicyState) -> None:
-    """Give back what waits for a destination at fault before it keeps out what could be sent at once."""
+    """End queued messages while fewer than MESSAGE_HEADROOM further ones could be accepted.
+
+    They are taken from the longest queue: a failing destination must not use up the capacity for messages
+    that could be sent at once.
+    """
     while len(state.messages) > max(1, state.settings.max_open_messages - MESSAGE_HEADROOM):
         destination = max(state.destinations.values(), key=lambda d: len(d.queue))
         if len(destination.queue) <= 1:
@@ -98,11 +110,15 @@
 
 
 def _shedding_rank(state: PolicyState, message: Message) -> tuple[bool, bool, float, int]:
-    """The least goes first: never attempted, of little weight now, the newest."""
+    """Return a sort key; the message with the lowest one is shed first.
+
+    Messages that were never possibly applied go first, then those that were not restored, those of low weight
+    and the newest ones.
+    """
     weight = selection.weight_at(state, message, state.now_us)
     return message.possibly_applied_at_us >= 0, message.restored_unattempted, weight, -message.sequence
 
 
 def capacity_retry_after_us(state: PolicyState) -> int:
-    """A Retry-After for a message that there is no capacity for: spread by chance."""
+    """Return a Retry-After in microseconds with jitter, for a message that exceeds the capacity."""
     return int(state.settings.max_retry_after_us * state.random.uniform(0.5, 1))
--- a/message_relay/policy/concurrency_window.py
+++ b/message_relay/policy/concurrency_window.py
@@ -1,41 +1,47 @@
-"""Windows: calls in flight to a group, and connections to an endpoint, that were seen to be taken."""
+"""Concurrency limits: calls in flight to an endpoint group, and connections to an endpoint.
+
+The window of a group starts at one call, grows by one with each success, shrinks by one with a single lost
+call and halves on overload or on a time-out without a later success (additive increase, multiplicative
+decrease). The connection limit of an endpoint is set when it rejects a new connection and raised later, one
+connection at a time.
+"""
 
 from message_relay.policy_state import Destination, Endpoint, EndpointGroup, PolicyState
 
-CONNECTION_LIMIT_RETRY_US = 2_000_000  # one more connection than the limit is tried after this
+CONNECTION_LIMIT_RETRY_US = 2_000_000  # interval after which one connection above the limit is allowed
 
 
 def grow(state: PolicyState, group: EndpointGroup) -> None:
-    """A call succeeded."""
+    """Widen the group's window by one call after a success."""
     group.concurrency_window = min(state.max_calls_per_destination, group.concurrency_window + 1)
 
 
 def shrink(group: EndpointGroup) -> None:
-    """A single call was lost."""
+    """Narrow the group's window by one call after a single lost call."""
     group.concurrency_window = max(1.0, group.concurrency_window - 1)
 
 
 def halve(group: EndpointGroup) -> None:
-    """The group shows that it has too much to do."""
+    """Halve the group's window, which remains at least one call."""
     group.concurrency_window = max(1.0, group.concurrency_window / 2)
 
 
 def record_connection_limit(state: PolicyState, endpoint: Endpoint) -> None:
-    """The endpoint took no more connections than it has now."""
+    """Set the endpoint's connection limit to the reused and idle connections that it has now."""
     reused = sum(call.connection_idle_us >= 0 for call in endpoint.in_flight.values())
     endpoint.connection_limit = max(1, reused + len(endpoint.idle_since_us))
     endpoint.connection_limit_at_us = state.now_us
 
 
 def raise_connection_limit(state: PolicyState, endpoint: Endpoint) -> None:
-    """A call succeeded: allow one more connection, some time after the limit was reached."""
+    """Allow one more connection after a success, at most once in each CONNECTION_LIMIT_RETRY_US."""
     if state.now_us - endpoint.connection_limit_at_us > CONNECTION_LIMIT_RETRY_US:
         endpoint.connection_limit += 1
         endpoint.connection_limit_at_us = state.now_us
 
 
 def slots_exhausted(state: PolicyState, destination: Destination) -> bool:
-    """Whether no slot is left for one more call to the destination."""
+    """Return whether the slots of the instance, or those for this destination, are all in use."""
     return (
         state.in_flight >= state.settings.call_slots
         or destination.in_flight >= state.max_calls_per_destination
@@ -43,5 +49,5 @@
 
 
 def is_full(group: EndpointGroup) -> bool:
-    """Whether the group's window leaves no place for one more call."""
+    """Return whether as many calls to the group are in flight as its window allows."""
     return group.in_flight >= int(group.concurrency_window)
--- a/message_relay/policy/recovery_budget.py
+++ b/message_relay/policy/recovery_budget.py
@@ -1,7 +1,10 @@
-"""The recovery budget: what a failing group may get from a small fleet while nobody knows that it is back.
+"""Recovery budget: a token bucket for the calls to a group from its complete failure until the next success.
 
-Where the calls that open the circuits of all instances are more than a recovering destination bears, each
-keeps to its part from when all endpoints have failed on, until an answer shows that it was no outage.
+Every instance needs several failed calls to open its circuits. If those calls of all instances together
+exceed the load that a recovering destination can take, each instance is limited to its share of that load.
+The limit starts when all endpoints of the group have failed, or when a long Retry-After shows that the
+destination was shut down. The first success ends it; after an outage a slow start follows. Large fleets do
+not use it, since their circuits open after one or two failures.
 """
 
 import math
@@ -15,7 +18,10 @@
 
 
 def record_failure(state: PolicyState, group: EndpointGroup, shut_down: bool = False) -> None:
-    """A failure there, or a Retry-After so long that only a destination that was shut down gives it."""
+    """Start the limit after a failure, if it is needed and not in force, and count the failure.
+
+    ``shut_down`` is true if a long Retry-After shows that the destination was shut down.
+    """
     if (
         state.large_fleet
         or (_is_responding(state, group) and not shut_down)
@@ -27,7 +33,7 @@
         recovery.failures, recovery.since_us = 0, state.now_us
         recovery.rate_per_s = traffic_share_per_s(state, group)
         recovery.bucket.tokens, recovery.bucket.updated_at_us = state.random.random(), state.now_us
-    if shut_down:  # nothing is saved up until the Retry-After ends: it ends for all at once
+    if shut_down:  # no tokens accrue until the Retry-After ends, since it ends for all instances at once
         recovery.bucket.tokens = min(recovery.bucket.tokens, state.random.random())
         recovery.bucket.updated_at_us = max(state.now_us, group.retry_after_until_us)
     recovery.failures += 1 + shut_down
@@ -43,17 +49,22 @@
 
 
 def _detection_fits_budget(state: PolicyState, group: EndpointGroup) -> bool:
-    """Whether the calls by which all other instances learn of the outage fit into the budget."""
+    """Return whether the calls that open the circuits of all other instances fit into the budget.
+
+    The budget is the number of calls that a recovering destination can take within the overload window.
+    """
     settings = state.settings
     allowed_factor = settings.instance_count * settings.slow_start_share * settings.overload_factor
     budget = allowed_factor * traffic_share_per_s(state, group) * settings.overload_window_us / 1e6
-    tolerated_calls = budget + 2 * math.sqrt(budget) + 2  # what is over the budget is taken for chance
+    tolerated_calls = budget + 2 * math.sqrt(budget) + 2  # the sum above the budget is random variation
     return (settings.instance_count - 1) * FAILURES_TO_OPEN * len(group.endpoints) <= tolerated_calls
 
 
 def record_success(state: PolicyState, group: EndpointGroup) -> None:
-    """The first answer ends the limit. After an outage each endpoint in use starts slowly then, with
-    nothing saved up: the call that was answered was its part.
+    """End the limit with the first success, and start a slow start after more than one failure.
+
+    The slow start begins with empty buckets, since the call that succeeded has used this instance's share.
+    Circuits that failed calls opened stay open: those endpoints need a half-open attempt.
     """
     if group.recovery.since_us < 0:
         return
@@ -61,7 +72,7 @@
     for endpoint in group.endpoints.values() if group.recovery.failures > 1 else ():
         circuit = endpoint.circuit
         circuit.target_rate_per_s = traffic_share_per_s(state, group)
-        if not circuit.open or circuit.failure_rate >= 1.0:  # 1: closed by a Retry-After
+        if not circuit.open or circuit.failure_rate >= 1.0:  # 1.0: opened by a long Retry-After
             circuit.open, circuit.half_open_interval_us = False, 0
             circuit.failure_rate = min(circuit.failure_rate, MAX_FAILURE_RATE_AFTER_CLOSING)
             circuit.slow_start_since_us = circuit.bucket.updated_at_us = state.now_us
@@ -69,11 +80,12 @@
 
 
 def wait_us(state: PolicyState, group: EndpointGroup) -> int:
-    """Microseconds until a group that is limited may get the next call, 0 if it may now."""
+    """Return the microseconds until the group may get the next call, 0 if it may now."""
     recovery, settings = group.recovery, state.settings
     if recovery.since_us < 0:
         return 0
-    # All of the budget: that calls go there while it is down costs nothing, and the rest is chance's.
+    # The full overload factor, without the margin of the slow start: calls to a destination that is still
+    # down do no harm, and random variation above the budget is tolerated.
     allowed_factor = min(1.0, settings.overload_factor * settings.slow_start_share)
     rate = max(MIN_RATE_PER_S, allowed_factor * max(recovery.rate_per_s, traffic_share_per_s(state, group)))
     tokens = recovery.bucket.refill(state.now_us, rate)
--- a/message_relay/policy/slow_start.py
+++ b/message_relay/policy/slow_start.py
@@ -1,31 +1,42 @@
-"""Slow start: a recovering endpoint gets a growing share of its usual calls."""
+"""Slow start: the rate of calls to a recovering endpoint rises linearly to a target rate.
+
+The capacity of a recovering destination grows from ``slow_start_share`` to 1 within ``slow_start_us``, and
+more than ``overload_factor`` times that capacity takes it down again. Calls stay below that load by a margin.
+The target rate is the advertised rate or, if there is none, a multiple of the success rate. In a large fleet
+it is the instance's share of the traffic, since the minimum target rates of all instances would add up, and
+new messages add tokens directly, so that the calls of the fleet follow its total traffic.
+"""
 
 from message_relay.policy_state import CircuitBreaker, Endpoint, EndpointGroup, PolicyState
 
-MAX_TRANSIENT_FAULT_US = (
-    1_000_000  # trouble that lasted no longer, with answers before and after, was no outage
-)
-OVERLOAD_FACTOR_SHARE = 0.8  # of the overload factor is used: the rest is for chance
-ASSUMED_HEADROOM_FACTOR = (
-    2.0  # a capacity that is not advertised is taken for this multiple of the traffic seen
-)
+# A fault that lasted no longer than this between two successes is transient and needs no slow start.
+MAX_TRANSIENT_FAULT_US = 1_000_000
+# Share of the overload factor that is used. The rest is a margin for random variation of the arrivals, summed
+# over the fleet.
+OVERLOAD_FACTOR_SHARE = 0.8
+ASSUMED_HEADROOM_FACTOR = 2.0  # assumed capacity, as a multiple of the success rate, if none is advertised
 MIN_TARGET_RATE_PER_S = 0.5
 MIN_RATE_PER_S = 0.05
 MIN_RATE_LARGE_FLEET_PER_S = 0.001
 
 
 def traffic_share_per_s(state: PolicyState, group: EndpointGroup) -> float:
-    """Calls a second that this instance usually sends there: of all instances, they sum to the total."""
+    """Return the instance's share of the calls to the group, in calls a second.
+
+    It is the instance's part of the advertised rate or, if there is none, the mean rate of new messages since
+    the start. The shares of all instances sum to the total traffic.
+    """
     min_observed_us = state.settings.slow_start_us if state.large_fleet else MAX_TRANSIENT_FAULT_US
     observed_us = max(state.now_us - state.started_at_us, min_observed_us, 1)
     return group.advertised_rate_per_s or group.destination.arrivals / observed_us * 1e6
 
 
 def update_target_rate(state: PolicyState, endpoint: Endpoint) -> None:
-    """Update the target rate, which the slow start leads to.
+    """Update the target rate of a slow start.
 
-    A group that fails over and over shows few successes: its target rate is the best one seen. But the floors
-    of hundreds of instances add up: there it is the own traffic, whose sum follows the total.
+    A group that fails repeatedly has few successes, so the highest estimate so far is kept, with a lower
+    bound. In a large fleet the lower bounds of hundreds of instances would add up: there the target is the
+    instance's share of the traffic, whose sum follows the total.
     """
     group, circuit = endpoint.group, endpoint.circuit
     if state.large_fleet:
@@ -36,7 +47,7 @@
 
 
 def reset_for_slow_start(state: PolicyState, endpoint: Endpoint) -> None:
-    """The endpoint is put back after a restart: nothing known of it holds, and it starts slowly."""
+    """Reset the statistics of an uncordoned, probably restarted endpoint and begin a slow start."""
     update_target_rate(state, endpoint)
     circuit = endpoint.circuit
     circuit.open, circuit.failure_rate, circuit.half_open_interval_us = False, 0.0, 0
@@ -44,11 +55,14 @@
     circuit.bucket.tokens = state.random.random() if state.large_fleet else 1.0
     endpoint.failure_rate = 0.0
     endpoint.idle_since_us.clear()
-    state.log(f"endpoint put back: slow start, endpoint={endpoint.id}")
+    state.log(f"endpoint uncordoned: slow start, endpoint={endpoint.id}")
 
 
 def traffic_factor(state: PolicyState, circuit: CircuitBreaker) -> float:
-    """Share of its usual calls that a recovering endpoint may get now."""
+    """Return the share of its target rate that a recovering endpoint may get now, up to 1.
+
+    With an open circuit it is the share at the beginning of a slow start.
+    """
     initial_share, duration_us = state.settings.slow_start_share, max(1, state.settings.slow_start_us)
     since_us = state.now_us if circuit.open else circuit.slow_start_since_us
     capacity_share = initial_share + (1 - initial_share) * (state.now_us - since_us) / duration_us
@@ -56,7 +70,7 @@
 
 
 def is_complete(state: PolicyState, circuit: CircuitBreaker) -> bool:
-    """Whether a slow start has come to its end."""
+    """Return whether a slow start is in progress and has reached its duration or the target rate."""
     if circuit.slow_start_since_us < 0:
         return False
     elapsed_us = state.now_us - circuit.slow_start_since_us
@@ -64,8 +78,10 @@
 
 
 def credit_new_message(state: PolicyState, group: EndpointGroup) -> None:
-    """In a large fleet a recovering group gets a share of the new messages: summed over the fleet it follows
-    the total. None is saved up during a Retry-After: all instances would use it in the same moment.
+    """Add a part of a token to a recovering group's bucket for a new message, in a large fleet.
+
+    The calls of all instances then follow the total traffic. No tokens accrue during a Retry-After, since all
+    instances would use them at the moment it ends.
     """
     circuit = group.shared_circuit
     if circuit is None or state.now_us < group.retry_after_until_us:
@@ -76,11 +92,12 @@
 
 
 def wait_us(state: PolicyState, endpoint: Endpoint) -> int:
-    """Microseconds until an endpoint in slow start may get its next call, 0 if it may now."""
+    """Return the microseconds until an endpoint in slow start may get its next call, 0 if it may now."""
     circuit, group = endpoint.circuit, endpoint.group
     sharing_endpoints = 1 if state.large_fleet else group.endpoints_in_use()
     min_rate = MIN_RATE_LARGE_FLEET_PER_S if state.large_fleet else MIN_RATE_PER_S
-    # The target rate may be older than the limit: after a restart in an outage no traffic is known.
+    # An instance that starts during an outage measures no traffic: its target rate is below one advertised
+    # since.
     target_rate = max(circuit.target_rate_per_s, group.advertised_rate_per_s)
     rate = max(traffic_factor(state, circuit) * target_rate / sharing_endpoints, min_rate)
     circuit.bucket.refill(state.now_us, rate)
