--- a/message_relay/policy/circuit_breaker.py
+++ b/message_relay/policy/circuit_breaker.py
@@ -1,25 +1,32 @@
-"""Circuit breakers: an endpoint that fails gets single half-open attempts with growing gaps between them."""
+"""Circuit breaker with half-open attempts.
+
+The circuit opens when the failure rate, an EWMA over call outcomes, reaches OPEN_FAILURE_RATE. It then allows
+one half-open attempt at a time, at intervals that double with each failure, with jitter. The first success
+closes it; after an outage a slow start follows. In a large fleet all endpoints of a group share one circuit.
+It opens after one or two failures, since three failed calls of each of hundreds of instances would overload a
+recovering destination, and its half-open attempts use the token bucket of the slow start.
+"""
 
 from message_relay.model import AttemptResult
 from message_relay.policy import slow_start
 from message_relay.policy_state import Call, CircuitBreaker, Endpoint, PolicyState
 
-FAILURE_EWMA_WEIGHT = 0.25  # weight of the newest outcome in a failure rate
+FAILURE_EWMA_WEIGHT = 0.25  # of the newest outcome in a failure rate
 OPEN_FAILURE_RATE = 0.5
 FAILURES_TO_OPEN = 3  # consecutive failures that raise the failure rate from 0 to OPEN_FAILURE_RATE
-TWO_FAILURES_RATE = 0.4  # and two this one
-MAX_FAILURE_RATE_AFTER_CLOSING = OPEN_FAILURE_RATE * 0.8  # what a first answer leaves of it at most
+TWO_FAILURES_RATE = 0.4  # reached from 0 by two consecutive failures
+MAX_FAILURE_RATE_AFTER_CLOSING = OPEN_FAILURE_RATE * 0.8  # one more failure opens it again
 HALF_OPEN_INTERVAL_US = 400_000  # upper bound of the first interval between half-open attempts
 MAX_HALF_OPEN_INTERVAL_US = 2_500_000
 
 
 def open_circuit(state: PolicyState, endpoint: Endpoint, reason: str) -> None:
-    """Allow half-open attempts only, with growing gaps that are spread by chance."""
+    """Open the circuit, or double the half-open interval of an open one, with jitter."""
     circuit = endpoint.circuit
     if not circuit.open:
         slow_start.update_target_rate(state, endpoint)
         if state.large_fleet and circuit.slow_start_since_us < 0:
-            circuit.bucket.tokens = state.random.random()  # chance sets who may try first
+            circuit.bucket.tokens = state.random.random()  # spreads the first attempts of all instances
         state.log(f"circuit opened: half-open attempts only, endpoint={endpoint.id} reason={reason}")
     circuit.open, circuit.slow_start_since_us = True, -1
     circuit.half_open_interval_us = min(
@@ -29,7 +36,7 @@
 
 
 def record_failure(state: PolicyState, endpoint: Endpoint, result: AttemptResult, call: Call) -> None:
-    """A failure has entered the failure rate: open the circuit if that says so."""
+    """Open the circuit or restart a slow start, by the failure rate, which includes this failure."""
     circuit = endpoint.circuit
     if circuit.slow_start_since_us >= 0 and circuit.failure_rate >= OPEN_FAILURE_RATE / 2:
         circuit.slow_start_since_us = state.now_us
@@ -40,17 +47,19 @@
     if opens and (result is not AttemptResult.ERROR or state.large_fleet):
         open_circuit(state, endpoint, result.value)
     elif opens:
-        # It answers, but with errors: some calls still get through, so it goes on at a slow start's first
-        # pace. Half-open attempts alone lost what it still delivers.
+        # Error responses show that the endpoint is reachable and may still deliver some messages: it gets the
+        # initial rate of a slow start. With half-open attempts alone, those messages were lost.
         if circuit.slow_start_since_us < 0:
-            state.log(f"endpoint answers with errors: slow start, endpoint={endpoint.id}")
+            state.log(f"error responses: slow start, endpoint={endpoint.id}")
         slow_start.update_target_rate(state, endpoint)
         circuit.open, circuit.half_open_interval_us, circuit.slow_start_since_us = False, 0, state.now_us
 
 
 def _opens_early(state: PolicyState, circuit: CircuitBreaker, result: AttemptResult) -> bool:
-    """In a large fleet one failure opens the circuit, or two calls without an answer: three of each of
-    hundreds of instances are more than a recovering destination bears. The next answer closes it.
+    """Return whether a large fleet opens the circuit below OPEN_FAILURE_RATE.
+
+    One failure is enough, or two time-outs; a rejection is not. Three calls of each of hundreds of instances
+    would overload a recovering destination. The next success closes the circuit.
     """
     if not state.large_fleet or result is AttemptResult.REJECTED:
         return False
@@ -58,7 +67,7 @@
 
 
 def record_success(state: PolicyState, endpoint: Endpoint, transient_fault: bool) -> None:
-    """Close the circuit; after an outage the endpoint starts slowly."""
+    """Close an open circuit, with a slow start after an outage; end a slow start that is complete."""
     circuit = endpoint.circuit
     if not circuit.open:
         if slow_start.is_complete(state, circuit):
@@ -66,10 +75,11 @@
         return
     circuit.open = False
     if transient_fault and not state.large_fleet:
-        state.log(f"circuit closed: it was a transient fault, endpoint={endpoint.id}")
+        state.log(f"circuit closed: transient fault, endpoint={endpoint.id}")
     elif not state.large_fleet or circuit.failure_rate >= TWO_FAILURES_RATE * (1 - FAILURE_EWMA_WEIGHT):
         circuit.slow_start_since_us = circuit.bucket.updated_at_us = state.now_us
-        if not state.large_fleet:  # a whole token each, on top of the half-open attempts, is too much
+        # A full token for each instance, on top of its half-open attempts, would be too many calls.
+        if not state.large_fleet:
             circuit.bucket.tokens = state.random.random()
         state.log(f"circuit closed: slow start, endpoint={endpoint.id}")
     circuit.half_open_interval_us = 0
@@ -77,7 +87,11 @@
 
 
 def half_open_attempt_allowed(state: PolicyState, circuit: CircuitBreaker, fast_retry: bool) -> bool:
-    """Whether an endpoint whose circuit is open may get a half-open attempt now."""
+    """Return whether an endpoint with an open circuit may get a half-open attempt now.
+
+    In a large fleet it needs a token, unless ``fast_retry`` is true. In a small one it needs the half-open
+    interval to have passed; if it has not, a tick is scheduled for its end.
+    """
     if circuit.half_open_call is not None:
         return False
     if state.large_fleet:
--- a/message_relay/policy/connection_reuse.py
+++ b/message_relay/policy/connection_reuse.py
@@ -1,22 +1,31 @@
-"""How long an idle connection may be reused, from what is lost on reused ones and on new ones."""
+"""Reuse limit of idle connections: the age up to which one is used for another call.
+
+An endpoint or a proxy may drop an idle connection silently, and the next call on it is lost. If calls on
+reused connections are lost clearly more often than on new ones, the reuse limit is cut below the age at which
+one failed; successes on old connections raise it again. The evidence is two pairs of EWMAs over all calls of
+the instance: the shares of reset and of unanswered calls, on new and on reused connections.
+"""
 
 from message_relay.model import AttemptResult
 from message_relay.policy_state import Call, ConnectionRates, PolicyState
 
-RESET_EWMA_WEIGHT = 1 / 16  # weight of the newest call in the shares that are reset
-UNANSWERED_EWMA_WEIGHT = 1 / 32  # and in the shares that go unanswered
-# Reuse counts as the cause if reused connections lose over EXCESS_LOSS_FACTOR times what new ones lose, plus
-# EXCESS_LOSS_SHARE.
+RESET_EWMA_WEIGHT = 1 / 16  # of the newest call in the shares of reset calls
+UNANSWERED_EWMA_WEIGHT = 1 / 32  # of the newest call in the shares of unanswered calls
+# Reuse is taken as the cause of losses if their share on reused connections exceeds EXCESS_LOSS_FACTOR times
+# that on new connections, plus EXCESS_LOSS_SHARE.
 EXCESS_LOSS_FACTOR = 1.5
 EXCESS_LOSS_SHARE = 0.05
 REUSE_LIMIT_CUT_FACTOR = 0.5  # a lost call cuts the reuse limit to this share of the connection's idle time
 REUSE_LIMIT_GROWTH_FACTOR = 1.25
-# Messages that must not be repeated get a new connection where reused ones are reset so much more often.
+# Excess of the reset share on reused connections above which non-idempotent messages get a new one.
 EXCESS_RESET_SHARE = 0.08
 
 
 def record(state: PolicyState, result: AttemptResult, call: Call) -> None:
-    """Count the outcome of a call; one that is lost on an idle connection makes for shorter reuse."""
+    """Record the outcome of a call, and cut the reuse limit if the call was lost because of reuse.
+
+    The first such loss since the limit was last raised is taken as random; each further one cuts the limit.
+    """
     statistics = state.statistics
     if result in (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.RESET):
         _update_rate(statistics.reset_rates, call, result is AttemptResult.RESET, RESET_EWMA_WEIGHT)
@@ -26,10 +35,10 @@
         )
     if call.connection_idle_us < 0 or result not in (AttemptResult.TIMEOUT, AttemptResult.RESET):
         return
-    # Calls that are lost on new connections just as often say nothing of how long one may be kept.
+    # If calls on new connections are lost about as often, the idle time is not the cause.
     rates = statistics.reset_rates if result is AttemptResult.RESET else statistics.unanswered_rates
     if rates.reused > EXCESS_LOSS_FACTOR * rates.new + EXCESS_LOSS_SHARE:
-        # A connection was dropped unseen while it was idle: older ones are closed before a call.
+        # The connection was dropped silently while it was idle: older ones must be closed before a call.
         statistics.lost_idle_calls += 1
         if statistics.lost_idle_calls > 1:
             age_us = max(call.connection_idle_us, 2 * call.endpoint.group.latency_mean_us)
@@ -46,7 +55,10 @@
 
 
 def record_success(state: PolicyState, call: Call) -> None:
-    """A call that was answered on a connection about as old as is trusted makes for longer reuse."""
+    """Raise the reuse limit after a success on a connection whose idle time was near it.
+
+    Near means over REUSE_LIMIT_CUT_FACTOR squared, a quarter of the limit.
+    """
     statistics = state.statistics
     if (
         call.connection_idle_us
@@ -58,6 +70,6 @@
 
 
 def reused_connections_reset_more_often(state: PolicyState) -> bool:
-    """Whether reused connections are reset so much more often that a single attempt needs a new one."""
+    """Return whether the reset share on reused connections exceeds that on new ones by EXCESS_RESET_SHARE."""
     rates = state.statistics.reset_rates
     return rates.reused > rates.new + EXCESS_RESET_SHARE
--- a/message_relay/policy/outlier_detection.py
+++ b/message_relay/policy/outlier_detection.py
@@ -1,4 +1,12 @@
-"""Outlier detection: records the outcome of each call, and finds the endpoints that fail."""
+"""Outlier detection: passive health checks by the outcome of each call.
+
+Each outcome updates the statistics of the endpoint, its group and its connections. A failure raises the
+failure rates, which rank endpoints and open circuits, unless other evidence explains it: a time-out while
+later calls succeed is a lost call, a reset of a reused connection is a stale connection, and a rejection of a
+new connection while reused ones work is the connection limit. A time-out counts less, the more calls are lost
+in general. In a large fleet few calls go to one endpoint: the failure rate that opens a circuit is that of
+the group.
+"""
 
 from message_relay.model import AttemptEnded, AttemptResult
 from message_relay.policy import (
@@ -13,19 +21,19 @@
 from message_relay.policy.slow_start import MAX_TRANSIENT_FAULT_US
 from message_relay.policy_state import Call, Endpoint, EndpointGroup, PolicyState
 
-AMBIGUOUS_DECAY_SHARE = 0.6  # the share of ambiguous failures fades in this part of the slow start's time
-LOST_CALL_FACTOR = 4.0  # with 1 in so many calls lost, time-outs are no evidence
-# What answered this lately is not down: a connection that failed met the connection limit.
+# Time in which the ambiguous failure rate decays to 0, as a share of the slow start's duration.
+AMBIGUOUS_DECAY_SHARE = 0.6
+LOST_CALL_FACTOR = 4.0  # if the share of lost calls reaches 1 / LOST_CALL_FACTOR, time-outs are no evidence
+# An endpoint with a success this recent is not down: a failed connection is due to its connection limit.
 RECENT_SUCCESS_US = 1_000_000
-MIN_SHUTDOWN_RETRY_AFTER_US = (
-    2_500_000  # a longer one is a destination that was shut down, not the end of a span
-)
+# A longer Retry-After means that the destination was shut down, a shorter one that a rate limit was exceeded.
+MIN_SHUTDOWN_RETRY_AFTER_US = 2_500_000
 SUCCESS_RATE_DECAY_US = 4e6
 SUCCESS_RATE_STEP = 0.25  # calls a second that each success adds: one call in SUCCESS_RATE_DECAY_US
 
 
 def record_call_outcome(state: PolicyState, call: Call, event: AttemptEnded) -> None:
-    """Enter the outcome of a call into the statistics."""
+    """Update all statistics, limits and the circuit breaker with the outcome of a call."""
     connection_reuse.record(state, event.result, call)
     if event.result is AttemptResult.OK:
         connection_reuse.record_success(state, call)
@@ -41,7 +49,11 @@
 
 
 def _connection_limit_reached(state: PolicyState, call: Call, event: AttemptEnded) -> bool:
-    """Rejected on a new connection while reused ones are answered: the connection limit, not a rate limit."""
+    """Return whether a rejection is due to the endpoint's connection limit, not to a rate limit.
+
+    That is the case if a call on a new connection was rejected without a Retry-After, while other calls to
+    the endpoint were in flight and one had succeeded within MAX_TRANSIENT_FAULT_US. Never in a large fleet.
+    """
     if event.result is not AttemptResult.REJECTED or event.retry_after_us or state.large_fleet:
         return False
     responds = state.now_us - call.endpoint.last_success_at_us < MAX_TRANSIENT_FAULT_US
@@ -49,11 +61,14 @@
 
 
 def _is_failure(state: PolicyState, call: Call, event: AttemptEnded) -> bool:
-    """Whether the outcome speaks against the endpoint, once rates and windows have learned from it."""
+    """Return whether an unsuccessful call counts as a failure of the endpoint.
+
+    The rate limit, the concurrency window and the share of lost calls are updated first.
+    """
     endpoint, group = call.endpoint, call.endpoint.group
     since_success_us = state.now_us - endpoint.last_success_at_us
     if event.result is AttemptResult.RESET:
-        # An idle connection had died, if the endpoint answers on others.
+        # A reused connection was stale if the endpoint had a success within this time.
         return call.connection_idle_us < 0 or since_success_us >= MAX_TRANSIENT_FAULT_US
     if event.result is AttemptResult.REJECTED:
         rate_limiter.record_rejection(state, group)
@@ -64,7 +79,8 @@
         return since_success_us >= RECENT_SUCCESS_US
     if event.result is AttemptResult.TIMEOUT:
         if endpoint.last_success_at_us > call.sent_at_us:
-            # Calls sent with it or later were answered: a lost call, which must not put a group in recovery.
+            # Another call succeeded since this one was sent: a lost call, which must not limit the group
+            # to the recovery budget.
             concurrency_window.shrink(group)
             timeouts.record_lost_call(state)
             return False
@@ -76,7 +92,7 @@
 
 
 def _record_shutdown(state: PolicyState, endpoint: Endpoint) -> None:
-    """A Retry-After so long that the destination was shut down; it holds for all of its endpoints."""
+    """Open all circuits of the group after a Retry-After that shows that the destination was shut down."""
     recovery_budget.record_failure(state, endpoint.group, shut_down=True)
     for other in endpoint.group.endpoints.values():
         if other is endpoint or not other.circuit.open:
@@ -93,7 +109,7 @@
     if result is not AttemptResult.REJECTED:
         endpoint.last_failure_at_us = state.now_us
         recovery_budget.record_failure(state, endpoint.group)
-    # Where many calls are lost anyway, one without an answer says little of its endpoint.
+    # Where many calls are lost in general, one time-out is weak evidence against its endpoint.
     timed_out = result is AttemptResult.TIMEOUT
     expected_loss = min(1.0, LOST_CALL_FACTOR * state.statistics.lost_call_rate) if timed_out else 0.0
     endpoint.failure_rate += FAILURE_EWMA_WEIGHT * (1 - endpoint.failure_rate) * (1 - expected_loss)
@@ -127,7 +143,10 @@
 
 
 def ambiguous_failure_rate(state: PolicyState, endpoint: Endpoint) -> float:
-    """Share of calls that failed in a way after which the message may have been applied; it fades."""
+    """Return the share of calls that failed ambiguously: the message may have been applied.
+
+    It decays linearly to 0 with the time since the last success or ambiguous failure.
+    """
     decay_us = max(1.0, AMBIGUOUS_DECAY_SHARE * state.settings.slow_start_us)
     since_us = state.now_us - endpoint.ambiguous_failure_at_us
     return endpoint.ambiguous_failure_rate * max(0.0, 1 - since_us / decay_us)
--- a/message_relay/policy/timeouts.py
+++ b/message_relay/policy/timeouts.py
@@ -1,8 +1,11 @@
-"""Latency and time-outs: for how long a call is waited for.
-
-A call is given up once it is likely lost. With a share p of calls lost and a tail that shrinks by e for each
-TAIL_DEVIATIONS deviations, the odds of an answer are ANSWER_ODDS_AT_TIMEOUT after ln(1 /
-(ANSWER_ODDS_AT_TIMEOUT * p)) times that.
+"""Adaptive time-outs from the measured latency of each endpoint group.
+
+A call times out once it is very likely lost: the odds of a response against a loss are
+ANSWER_ODDS_AT_TIMEOUT. With a share p of calls lost, and a probability of late responses that falls by the
+factor e with each TAIL_DEVIATIONS deviations, that is ln(1 / (ANSWER_ODDS_AT_TIMEOUT * p)) times
+TAIL_DEVIATIONS deviations above the mean. Means and deviations are EWMAs for each group; the share of lost
+calls and the setup time of connections are estimated over all groups. The slot occupancy of calls is
+estimated here too.
 """
 
 import math
@@ -10,27 +13,25 @@
 from message_relay.model import Idempotency
 from message_relay.policy_state import Call, EndpointGroup, Message, PolicyState
 
-TAIL_DEVIATIONS = 1.35
-ANSWER_ODDS_AT_TIMEOUT = 0.1
-LOST_CALL_EWMA_WEIGHT = 1 / 32  # weight of the newest call in the share of lost ones
-DEFAULT_CONNECTION_SETUP_US = (
-    500_000  # what the first call on a new connection takes longer, until it has been seen
-)
-HALF_OPEN_TIMEOUT_SHARE = 0.6  # a half-open attempt gets this share of the time-out
-OCCUPANCY_DECAY_US = 2_000_000  # time in which a group's slot occupancy fades to its latency
-GROUP_EWMA_SPAN = 8  # a group's means are updated with weight 1 / GROUP_EWMA_SPAN
+TAIL_DEVIATIONS = 1.35  # deviations in which the probability of a late response falls by the factor e
+ANSWER_ODDS_AT_TIMEOUT = 0.1  # odds of a response against a loss
+LOST_CALL_EWMA_WEIGHT = 1 / 32  # of the newest call in the share of lost calls
+DEFAULT_CONNECTION_SETUP_US = 500_000  # extra time of the first call on a connection, until it is measured
+HALF_OPEN_TIMEOUT_SHARE = 0.6  # of the ordinary time-out, for a half-open attempt
+OCCUPANCY_DECAY_US = 2_000_000  # time in which a group's slot occupancy decays to its mean latency
+GROUP_EWMA_SPAN = 8  # a mean is updated with weight 1 / GROUP_EWMA_SPAN
 INSTANCE_EWMA_SPAN = 32  # the same for the mean over all calls of the instance
 
 
 def answer_timeout_us(state: PolicyState, group: EndpointGroup) -> int:
-    """Time in which an answer comes, unless the call is lost."""
+    """Return the time in microseconds within which a response arrives unless the call is very likely lost."""
     tail = math.log(1 / (ANSWER_ODDS_AT_TIMEOUT * state.statistics.lost_call_rate))
     late_us = group.latency_deviation_us * TAIL_DEVIATIONS * tail
     return int(group.latency_mean_us + max(group.latency_mean_us, late_us))
 
 
 def latency_without_setup_us(state: PolicyState, call: Call, latency_us: int) -> int:
-    """A call's latency without what the setup of its connection took, which is learned from it."""
+    """Return a call's latency without connection setup, after updating the estimate of the setup time."""
     if call.connection_idle_us >= 0:
         return latency_us
     statistics, mean_us = state.statistics, call.endpoint.group.latency_mean_us
@@ -46,7 +47,7 @@
 
 
 def connection_setup_allowance_us(state: PolicyState) -> int:
-    """Time that is allowed for the setup of a connection."""
+    """Return the time in microseconds that a time-out includes for the setup of a connection."""
     setup_us = state.statistics.connection_setup_us
     if not setup_us:
         return DEFAULT_CONNECTION_SETUP_US
@@ -54,12 +55,12 @@
 
 
 def record_latency(state: PolicyState, group: EndpointGroup, latency_us: int) -> None:
-    """A call succeeded after that time."""
+    """Update the group's latency and the share of lost calls after a success."""
     statistics = state.statistics
     decayed_rate = statistics.lost_call_rate * (1 - LOST_CALL_EWMA_WEIGHT)
     statistics.lost_call_rate = max(state.min_lost_call_rate, decayed_rate)
     if not group.latency_mean_us:
-        # One quick answer is no ground for a short time-out: start from the mean of all calls.
+        # One fast response does not justify a short time-out: the mean starts at that of all calls or above.
         initial_us = max(float(latency_us), statistics.slot_occupancy_us)
         group.latency_mean_us = group.latency_deviation_us = initial_us
     change_us = abs(latency_us - group.latency_mean_us) - group.latency_deviation_us
@@ -68,12 +69,12 @@
 
 
 def record_lost_call(state: PolicyState) -> None:
-    """A call went unanswered though others that were sent with it or later were answered."""
+    """Count a call that timed out although another one to the endpoint succeeded after it was sent."""
     state.statistics.lost_call_rate += LOST_CALL_EWMA_WEIGHT * (1 - state.statistics.lost_call_rate)
 
 
 def record_slot_occupancy(state: PolicyState, group: EndpointGroup, latency_us: int) -> None:
-    """A call, also a failed one, took a slot for that time."""
+    """Update the means of the time for which calls, failed ones included, occupy a slot."""
     group.slot_occupancy_us += (latency_us - group.slot_occupancy_us) / GROUP_EWMA_SPAN
     group.slot_occupancy_at_us = state.now_us
     change_us = latency_us - state.statistics.slot_occupancy_us
@@ -81,10 +82,10 @@
 
 
 def slot_occupancy_us(state: PolicyState, group: EndpointGroup) -> float:
-    """Time that a call there is likely to take a slot.
+    """Return the expected time in microseconds for which a call to the group occupies a slot.
 
-    What lost calls added fades while none is sent: a group that is thought dear gets no slot, and would never
-    show that it is not.
+    The excess over the mean latency, which lost calls cause, decays while no call ends. Otherwise a group
+    with a high estimate would get no slots, and no call would correct the estimate.
     """
     mean_us = group.latency_mean_us
     if not mean_us:
@@ -94,14 +95,14 @@
 
 
 def attempt_timeouts_us(state: PolicyState, message: Message, call: Call) -> tuple[int, int]:
-    """The time-outs of an attempt that starts now: on a reused connection, and on a new one."""
+    """Return an attempt's time-outs in microseconds: on a reused connection and on a new one."""
     group, objective_us = call.endpoint.group, message.message_class.latency_objective_us
     if not group.latency_mean_us:
         timeout_us = _timeout_us(state, message, call, max(state.settings.connect_timeout_us, objective_us))
         return timeout_us, timeout_us
     expected_us = answer_timeout_us(state, group)
-    # The first call on a new connection waits for its setup. With no time for that, each one timed out, was
-    # closed, and the next opened one more.
+    # The first call on a new connection includes its setup. Without time for that, every such call timed out,
+    # its connection was closed, and the next call opened another one.
     with_setup_us = expected_us + connection_setup_allowance_us(state)
     return _timeout_us(state, message, call, expected_us), _timeout_us(state, message, call, with_setup_us)
 
@@ -112,13 +113,14 @@
     )
     timeout_us = remaining_us
     if message.message_class.idempotency is Idempotency.NON_IDEMPOTENT:
-        # One long attempt, unless slots are short: a lost one keeps its slot from others.
+        # Its only attempt gets at least the latency objective, unless slots are short: a lost call would keep
+        # one from other messages.
         slots_short = state.in_flight > state.max_calls_per_destination
         objective_us = message.message_class.latency_objective_us
         timeout_us = min(remaining_us, expected_us if slots_short else max(expected_us, objective_us))
     else:
         if expected_us + call.endpoint.group.latency_mean_us * 2 < remaining_us:
             timeout_us = expected_us
-        if call.endpoint.circuit.open:  # what may hang keeps its slot briefly
+        if call.endpoint.circuit.open:  # a call that may hang occupies its slot only briefly
             timeout_us = min(timeout_us, int(HALF_OPEN_TIMEOUT_SHARE * expected_us))
     return max(1, timeout_us)
