--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -1,4 +1,10 @@
-"""Attempts: calls are sent while slots are free, and their outcomes decide what comes next."""
+"""Dispatch of calls and handling of their outcomes.
+
+While call slots are free, the most urgent message of any destination is sent. When an attempt ends, its
+outcome updates the statistics of the endpoint and its group, and the message is finished, retried with full
+jitter, or removed. A call may carry a batch: its outcome is recorded once, with the first attempt whose
+result is conclusive for the call.
+"""
 
 from message_relay import model
 from message_relay.model import AttemptResult
@@ -13,13 +19,17 @@
 from message_relay.policy.slow_start import MAX_TRANSIENT_FAULT_US
 from message_relay.policy_state import Call, Endpoint, Message, PolicyState
 
-FAST_FAILURE_US = 200_000  # a first attempt that failed this soon may be retried at once, outage or not
-RETRY_AFTER_ROUNDING_US = 1_000  # a Retry-After comes in cut milliseconds: nothing falls just inside its end
+# A message whose first attempt failed within this time is retried without a token of the recovery budget or,
+# in a large fleet, of the open circuit.
+FAST_FAILURE_US = 200_000
+# Added to each Retry-After, which arrives truncated to milliseconds: no call is sent just before its end.
+RETRY_AFTER_ROUNDING_US = 1_000
+# Results that prove that the message was not applied.
 NOT_APPLIED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_ATTEMPTED)
 
 
 def dispatch(state: PolicyState) -> None:
-    """Send what may go, the most urgent first, while slots are free."""
+    """Send the queued messages that may be sent, the most urgent first, while slots are free."""
     waiting = (destination for destination in state.destinations.values() if destination.queue)
     selected = {d.number: candidate for d in waiting if (candidate := selection.select(state, d))}
     while selected and state.in_flight < state.settings.call_slots:
@@ -54,7 +64,10 @@
 
 
 def _take_idle_connection(state: PolicyState, call: Call) -> None:
-    """The server uses the connection that came free last; ones too old to be trusted are closed first."""
+    """Assign to the call the endpoint's connection that became idle last, as the server does.
+
+    If even that one was idle for longer than the reuse limit, all idle connections are closed first.
+    """
     endpoint, now = call.endpoint, state.now_us
     oldest_reusable_us = now - state.statistics.idle_reuse_limit_us
     if endpoint.idle_since_us and not call.require_new_connection:
@@ -81,7 +94,7 @@
 
 
 def record_outcome(state: PolicyState, event: model.AttemptEnded) -> None:
-    """An attempt has ended: learn from its call, then answer, retry or forget its message."""
+    """Record the outcome of an ended attempt, then finish, retry or remove its message."""
     call, message = state.calls.pop((event.message, event.attempt), (None, None))
     if call is None or message is None:
         return
@@ -89,7 +102,7 @@
     message.in_flight -= 1
     _release_connection(state, call, event)
     group = call.endpoint.group
-    if event.retry_after_us:  # heeded for each message: those of one batch may bring different ones
+    if event.retry_after_us:  # honored for each message: they may differ within a batch
         until_us = state.now_us + event.retry_after_us + RETRY_AFTER_ROUNDING_US
         group.retry_after_until_us = max(group.retry_after_until_us, until_us)
     _record_call_outcome(state, call, event)
@@ -110,7 +123,7 @@
     endpoint = call.endpoint
     if event.new_connection is not None and event.new_connection != (call.connection_idle_us < 0):
         call.connection_idle_us = -1 if event.new_connection else 0
-        if event.new_connection:  # none was idle, against what was thought
+        if event.new_connection:  # the server had no idle connection, contrary to this record
             endpoint.idle_since_us.clear()
     if call.open_attempts:
         return
@@ -129,21 +142,26 @@
         call.outcome_recorded = True
         if event.result is not AttemptResult.REJECTED:
             timeouts.record_slot_occupancy(state, group, event.latency_us)
-        # A malformed response is no fault of the endpoint by itself.
+        # A malformed response counts as a failure of the endpoint only if it had no success within this time.
         if not event.malformed or state.now_us - endpoint.last_success_at_us > MAX_TRANSIENT_FAULT_US:
             outlier_detection.record_call_outcome(state, call, event)
     if call.open_attempts:
         return
     if circuit.half_open_call is call:
         circuit.half_open_call = None
-    if not call.outcome_recorded and event.result is AttemptResult.NOT_ATTEMPTED:  # no call came of it
+    # Nothing was sent: the tokens are returned.
+    if not call.outcome_recorded and event.result is AttemptResult.NOT_ATTEMPTED:
         group.bucket.tokens += 1.0
         circuit.bucket.tokens = min(1.0, circuit.bucket.tokens + 1.0)
         group.recovery.bucket.tokens += 1.0
 
 
 def _is_inconclusive(call: Call, event: model.AttemptEnded) -> bool:
-    """A message of a batch that had ended, or whose own time was up first, says nothing of its call."""
+    """Return whether the attempt's result shows nothing about its call.
+
+    A cancelled attempt and one that was never made are inconclusive. So is a time-out or a failed connection
+    while other messages of the batch are open: that message's deadline came before the end of the call.
+    """
     if event.result in (AttemptResult.CANCELLED, AttemptResult.NOT_ATTEMPTED):
         return True
     return call.open_attempts > 0 and event.result in (AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED)
--- a/message_relay/policy/delivery_policy.py
+++ b/message_relay/policy/delivery_policy.py
@@ -1,4 +1,8 @@
-"""The delivery policy of one relay instance: the events of a tick in, its actions out."""
+"""The delivery policy of one relay instance: the entry point that turns the events of a tick into actions.
+
+Each event goes to the module that handles it. Then overdue messages get their final answers, calls are
+dispatched to the free slots, and messages are shed if too many are open.
+"""
 
 import functools
 import heapq
@@ -11,16 +15,16 @@
 from message_relay.policy_snapshot import restore
 from message_relay.policy_state import PolicyState
 
-LIMIT_FIELD = "x1"  # a load report's name for the limit, in calls a second of all instances together
-LIMIT_REMAINING_FIELD = "x0"  # and for the share of it that is left just now
+LIMIT_FIELD = "x1"  # of a load report: rate limit in calls a second, for all instances together
+LIMIT_REMAINING_FIELD = "x0"  # of a load report: unused share of that limit, 0 to 1
 
 
 class DeliveryPolicy:
-    """Decides for one instance: handle() takes the events of a tick and returns its actions."""
+    """Delivery policy of one instance, with its state and the event handlers."""
 
     def __init__(self, settings: model.Settings, seed: int) -> None:
         self.state = PolicyState(settings, seed, derive_limits(settings))
-        # Other events need no decision: a timer that fired has done its work by starting the tick.
+        # Other events need no handler: a fired timer only starts a tick.
         self._handlers: dict[type[model.Event], Callable[[Any], None]] = {
             model.MessageSubmitted: functools.partial(admission.submit, self.state),
             model.AttemptEnded: functools.partial(attempts.record_outcome, self.state),
@@ -34,7 +38,10 @@
         }
 
     def handle(self, now_us: int, events: Iterable[model.Event]) -> list[model.Action]:
-        """Run one tick. now_us is a clock that never goes back; times in events are on the same clock."""
+        """Run one tick and return its actions.
+
+        ``now_us`` and all times in events are microseconds on one monotonic clock.
+        """
         state = self.state
         state.now_us, state.actions = now_us, []
         if state.started_at_us < 0:
@@ -54,11 +61,11 @@
         return state.actions
 
     def endpoints_out_of_rotation(self) -> list[int]:
-        """Endpoints that get half-open attempts at most: cordoned, or with an open circuit."""
+        """Return the endpoints that get no ordinary calls: cordoned ones and those with an open circuit."""
         return [e.id for e in self.state.endpoints.values() if e.cordoned or e.circuit.open]
 
     def capacity_retry_after_us(self) -> int:
-        """A Retry-After in microseconds, for a message that there is no capacity for."""
+        """Return a Retry-After in microseconds for a message that exceeds the capacity."""
         return admission.capacity_retry_after_us(self.state)
 
     def _record_load(self, event: model.LoadReportReceived) -> None:
@@ -81,7 +88,7 @@
 
     def _cordon(self, event: model.EndpointCordoned) -> None:
         if endpoint := self.state.endpoints.get(event.endpoint):
-            if endpoint.cordoned and not event.cordoned:  # operators restart what they cordon
+            if endpoint.cordoned and not event.cordoned:  # cordoned endpoints are usually restarted
                 slow_start.reset_for_slow_start(self.state, endpoint)
             endpoint.cordoned = event.cordoned
 
--- a/message_relay/policy/eligibility.py
+++ b/message_relay/policy/eligibility.py
@@ -1,4 +1,10 @@
-"""Which endpoints may get a call now, and which messages may be attempted there."""
+"""Eligibility: which endpoints may get a call now, and which messages may be attempted there.
+
+An endpoint admits a call if it is ready and not cordoned, and if its connection limit, Retry-After, recovery
+budget, circuit breaker, slow start and rate limit all allow one. A message may be attempted there if it has
+time and attempts left, if a repetition is safe for its class, and if its order key allows it. Where a
+condition depends on time alone, a tick is scheduled for the time at which it may be met.
+"""
 
 import math
 
@@ -17,11 +23,15 @@
 # Share of ambiguous failures at an endpoint above which non-idempotent messages are deferred.
 MAX_AMBIGUOUS_FAILURE_RATE = 0.15
 AMBIGUOUS_FAILURE_WAIT_US = 250_000
-MIN_ROUND_TRIPS_TO_WAIT = 4  # they wait only with more time left than so many
+MIN_ROUND_TRIPS_TO_WAIT = 4  # with less time until the deadline, a message is no longer deferred
 
 
 def endpoint_admits(state: PolicyState, endpoint: Endpoint, fast_retry: bool = False) -> bool:
-    """Whether the endpoint may get a call, if slots and windows allow; fast_retry: for a fast failure."""
+    """Return whether the endpoint may get a call, apart from slots and concurrency windows.
+
+    ``fast_retry`` is true if a message that failed fast is ready: it needs no token of the recovery budget,
+    nor, in a large fleet, of an open circuit.
+    """
     group, now, circuit = endpoint.group, state.now_us, endpoint.circuit
     out_of_service = endpoint.cordoned or endpoint.state is not EndpointState.READY
     if out_of_service or len(endpoint.in_flight) >= endpoint.connection_limit:
@@ -47,11 +57,11 @@
 
 
 def attempt_allowed(state: PolicyState, message: Message, endpoint: Endpoint) -> bool:
-    """Whether the message may be attempted at an endpoint that admits calls."""
+    """Return whether the message may be attempted at an endpoint that admits calls."""
     group, circuit = endpoint.group, endpoint.circuit
     remaining_us = min(message.deadline_us, state.shutdown_at_us) - state.now_us - state.deadline_margin_us
     if state.shutdown_at_us < math.inf and remaining_us < timeouts.answer_timeout_us(state, group):
-        return False  # it might be cut off at the end
+        return False  # the shutdown could cut the call off
     if message.closed or message.in_flight or message.attempts >= state.max_attempts or remaining_us <= 0:
         return False
     if state.now_us < message.ready_at_us:
@@ -76,7 +86,10 @@
 
 
 def _order_allows(state: PolicyState, message: Message) -> bool:
-    """Messages of one order key go one at a time, with a pause after an ambiguous failure."""
+    """Return whether the message is the first open one of its order key and is not held back by a pause.
+
+    An ambiguous failure starts a pause for messages of the key that were not attempted yet.
+    """
     pause_until_us = state.order_pauses.get(message.order_key, 0)
     paused = message.attempts == 0 and state.now_us < pause_until_us
     if paused:
@@ -87,7 +100,10 @@
 def _deferred_by_ambiguous_failures(
     state: PolicyState, message: Message, endpoint: Endpoint, remaining_us: float
 ) -> bool:
-    """A message that must not be repeated is lost by an error: it waits while calls there fail so."""
+    """Return whether a non-idempotent message is deferred because calls to the endpoint fail ambiguously.
+
+    It could not be retried after such a failure. Near its deadline it is attempted nevertheless.
+    """
     if message.message_class.idempotency is not Idempotency.NON_IDEMPOTENT:
         return False
     rate_acceptable = outlier_detection.ambiguous_failure_rate(state, endpoint) <= MAX_AMBIGUOUS_FAILURE_RATE
--- a/message_relay/policy/final_answer.py
+++ b/message_relay/policy/final_answer.py
@@ -1,4 +1,8 @@
-"""The one final answer of each message, and the end of its time."""
+"""Final answers of messages that are not delivered, each sent once and no later than the deadline.
+
+A message is rejected, so that the client may resubmit it, only if a second delivery is safe: it is
+idempotent, no attempt was possibly applied, or its key is recognized by all endpoints. Otherwise it fails.
+"""
 
 import heapq
 
@@ -8,14 +12,18 @@
 
 
 def finish(state: PolicyState, message: Message, retry_after_us: int = 0) -> None:
-    """End a message: reject it if earlier attempts prove that another one does no harm, else fail it."""
+    """Close a message: reject it if its resubmission is safe, otherwise fail it.
+
+    A rejection carries the given Retry-After in microseconds, at most the maximum that clients honor. It
+    counts towards the rejections without a resubmission only if the client has time left to resubmit.
+    """
     remaining_us, retry_after_limit_us = message.deadline_us - state.now_us, state.settings.max_retry_after_us
     if not _resubmission_is_safe(message):
         state.actions.append(FailMessage(message.id))
     else:
         if remaining_us > max(retry_after_limit_us, message.message_class.latency_objective_us):
             state.rejections_since_resubmission += 1
-        # None was given: half the longest that clients heed, where that leaves the message some time.
+        # Without a given Retry-After: half the maximum, if the message's time exceeds the maximum.
         if not retry_after_us and remaining_us > retry_after_limit_us:
             retry_after_us = retry_after_limit_us // 2
         state.actions.append(RejectMessage(message.id, min(retry_after_us, retry_after_limit_us)))
@@ -30,13 +38,13 @@
 
 
 def expire(state: PolicyState) -> None:
-    """End the messages whose time is up."""
+    """Finish the messages whose deadline or last possible start has passed."""
     while state.expiries and state.expiries[0][0] <= state.now_us:
         message = state.messages.get(heapq.heappop(state.expiries)[1])
         if message is None or message.closed or message.streaming:
             continue
         if message.in_flight and state.now_us < message.deadline_us:
-            # Its attempt's time-out is due in a moment and answers.
+            # The attempt in flight ends by the deadline, with a success or a time-out.
             state.schedule_expiry(message.deadline_us, message)
         elif message.in_flight or state.now_us >= retry.last_start_us(state, message):
             finish(state, message)
--- a/message_relay/policy/membership.py
+++ b/message_relay/policy/membership.py
@@ -1,4 +1,8 @@
-"""Membership: endpoints come and go with the endpoint list."""
+"""Membership: endpoints are added, updated and removed according to the endpoint list.
+
+A complete or cached list replaces the earlier one; a delta changes the listed entries only. An endpoint that
+was removed stays in the state until its calls have ended, but gets no new ones.
+"""
 
 from message_relay.model import EndpointEntry, EndpointListForm, EndpointListReceived, EndpointState
 from message_relay.policy import rate_limiter
@@ -6,7 +10,7 @@
 
 
 def apply_list(state: PolicyState, event: EndpointListReceived) -> None:
-    """Take over an endpoint list or a change of it."""
+    """Apply a complete, cached or delta endpoint list."""
     listed = {entry.endpoint for entry in event.entries}
     for entry in event.entries:
         _apply_entry(state, entry)
@@ -19,7 +23,7 @@
 def _apply_entry(state: PolicyState, entry: EndpointEntry) -> None:
     endpoint = state.endpoints.get(entry.endpoint)
     if endpoint is not None and endpoint.group.destination.number != entry.destination:
-        endpoint.state = EndpointState.REMOVED  # it moved: what was known of it is void
+        endpoint.state = EndpointState.REMOVED  # it changed its destination: its statistics no longer apply
         endpoint.group.endpoints.pop(endpoint.id)
         endpoint = None
     if endpoint is None:
--- a/message_relay/policy/retry.py
+++ b/message_relay/policy/retry.py
@@ -1,7 +1,9 @@
-"""Whether and when a message may be attempted again.
+"""Retries: whether and when a message may be attempted again.
 
-The ordinary path is the full-jitter retry of "Retries (Agents SDK design)": a failed call is retried after
-random(0, min(cap, base * 2**attempt)), a few times at most; an overload rejection ends the message.
+Retries follow "Retries (Agents SDK design)", with exponential backoff and full jitter: a failed call is
+retried after random(0, min(cap, base * 2**attempt)), a few times at most, and an overload rejection ends the
+message. A message that was possibly applied is repeated only if its class allows it and within its key
+window.
 """
 
 import math
@@ -9,20 +11,24 @@
 from message_relay.model import Idempotency, KeyScope
 from message_relay.policy_state import Message, PolicyState
 
-BACKOFF_BASE_US = 100_000  # first ceiling of the wait (the design's default)
-BACKOFF_CAP_US = 3_000_000  # highest ceiling (the design's default)
+BACKOFF_BASE_US = 100_000  # upper bound of the first wait (the design's default)
+BACKOFF_CAP_US = 3_000_000  # upper bound of every wait (the design's default)
 MAX_BACKOFF_EXPONENT = 30
-REJECTIONS_WITHOUT_RESUBMISSION = 20  # after so many, clients are assumed not to resubmit
+REJECTIONS_WITHOUT_RESUBMISSION = 20  # after this number, clients are assumed not to resubmit
 
 
 def backoff_us(state: PolicyState, attempt: int) -> int:
-    """A wait with full jitter, after the attempt of that number (from 0)."""
+    """Return a backoff in microseconds with full jitter, after the attempt of that number (from 0)."""
     ceiling_us = min(BACKOFF_CAP_US, BACKOFF_BASE_US * 2 ** min(attempt, MAX_BACKOFF_EXPONENT))
     return int(state.random.uniform(0, ceiling_us))
 
 
 def last_start_us(state: PolicyState, message: Message) -> float:
-    """Until when an attempt may begin: in time and, if it may have been applied, as the class says."""
+    """Return the time at which an attempt may start at the latest, in microseconds.
+
+    It is the deadline margin before the deadline or, for a message that was possibly applied, before the end
+    of the time in which its class allows a repetition, if that is earlier.
+    """
     latest_us: float = message.deadline_us
     if message.possibly_applied_at_us >= 0:
         latest_us = min(latest_us, message.possibly_applied_at_us + _repeat_window_us(message))
@@ -38,7 +44,11 @@
 
 
 def has_no_attempt_left(state: PolicyState, message: Message) -> bool:
-    """Whether a message that was just taken in has no attempt left: its final answer is due at once."""
+    """Return whether a newly submitted message has no attempt left and needs its final answer at once.
+
+    That can be a restored message, or one whose idempotency key was used by an earlier message: the attempts
+    made for it count.
+    """
     possibly_applied, message_class = message.possibly_applied_at_us >= 0, message.message_class
     keyed = message_class.idempotency is Idempotency.KEYED
     if (
@@ -47,15 +57,15 @@
         and message_class.key_scope is not KeyScope.ALL
         and message.possibly_applied_zone < 0
     ):
-        return True  # nobody knows which endpoints would recognize the key
+        return True  # the endpoints that would recognize the key are unknown
     too_late = possibly_applied and state.now_us >= last_start_us(state, message)
     return message.attempts >= state.max_attempts or too_late
 
 
 def retries_after_rejection(state: PolicyState, message: Message) -> bool:
-    """Whether the message waits here after an overload rejection, which otherwise ends it.
+    """Return whether the message is retried after an overload rejection, which otherwise ends it.
 
-    Where clients mark what they resubmit and many rejections brought nobody back, a rejection is a loss.
+    That is so if clients mark resubmissions and none followed many rejections: rejected messages are lost.
     """
     clients_do_not_resubmit = state.rejections_since_resubmission >= REJECTIONS_WITHOUT_RESUBMISSION
     return (
--- a/message_relay/policy/selection.py
+++ b/message_relay/policy/selection.py
@@ -1,4 +1,11 @@
-"""Selection: which message of a destination goes next, to which endpoint, and with which others."""
+"""Selection: which message of a destination is sent next, to which endpoint, and in which batch.
+
+Messages are ranked by the weight that they lose by waiting, relative to the time for which their call
+occupies a slot. Endpoints are ranked by circuit, failure rate, idle connection, cost and calls in flight. In
+a large fleet one instance sends too few calls to balance them over the endpoints. There the cost is random,
+weighted by the endpoints' rates, so that the choices of all instances add up to a load in proportion to the
+rates.
+"""
 
 import functools
 import heapq
@@ -9,11 +16,13 @@
 from message_relay.policy.eligibility import attempt_allowed, endpoint_admits
 from message_relay.policy_state import Destination, Endpoint, Message, PolicyState
 
-SLOT_QUEUE_FACTOR = (
-    2.0  # what is put off for want of slots waits so many times the queue: new ones come first
-)
-FAILURE_RATE_STEPS = 4  # endpoints are told apart by their failure rate in so many steps
-REJECTION_RATE_OFFSET = 1.05  # less the share of rejected calls: the weight of an endpoint in a large fleet
+# A message without a slot waits for this multiple of the time that all queued calls take, since newer
+# messages are sent before it.
+SLOT_QUEUE_FACTOR = 2.0
+FAILURE_RATE_STEPS = 4  # steps of the failure rate by which endpoints are compared
+# The weight of an endpoint in a large fleet is its rate, multiplied by this value less its share of rejected
+# calls. Above 1, it leaves every endpoint a positive weight.
+REJECTION_RATE_OFFSET = 1.05
 
 
 EndpointRank = tuple[bool, bool, int, bool, float, int, float]
@@ -21,7 +30,7 @@
 
 @dataclass(slots=True, eq=False)
 class Candidate:
-    """A message that may go now, and its endpoint; the one with the least order goes first."""
+    """A message that may be sent now, and its endpoint; the candidate with the lowest order is sent first."""
 
     order: tuple[float, float]
     message: Message
@@ -29,7 +38,11 @@
 
 
 def select(state: PolicyState, destination: Destination) -> Candidate | None:
-    """The message of a destination that loses most by waiting, and the endpoint for it."""
+    """Return the destination's message that loses most by waiting, and its endpoint.
+
+    Messages that were restored and never attempted come first, by deadline. Returns None if no message may be
+    sent now.
+    """
     if concurrency_window.slots_exhausted(state, destination):
         return None
     fast_retry = _fast_retry_ready(state, destination)
@@ -59,8 +72,9 @@
     batch_size = state.settings.destination_types[destination.type_index].max_batch_size
     if best is None or batch_size == 1:
         return best
-    # What travels with it takes no slot more: ranked as one message, ten in it waited for ten calls. A batch
-    # that is not full is ranked as one message: it may grow while it waits, and takes as long then.
+    # A batch takes one slot, so a full one is ranked by all of its messages: ranked as one message, ten in a
+    # batch waited as long as ten calls. A partial batch is ranked as one message: it may grow while it waits,
+    # and its call takes no longer then.
     companions = batch_companions(state, best.message, best.endpoint)
     if len(companions) == batch_size - 1:
         best.order = (best.order[0] + sum(map(weight_change, companions)), best.order[1])
@@ -68,17 +82,21 @@
 
 
 def _fast_retry_ready(state: PolicyState, destination: Destination) -> bool:
-    """Whether a message that failed fast may go again; it matters only where endpoints wait for it."""
+    """Return whether a message that failed fast is ready for its retry.
+
+    Always False in a small fleet without a recovery budget in force: there a retry needs no token.
+    """
     if not state.large_fleet and all(group.recovery.since_us < 0 for group in destination.groups):
         return False
     return any(message.fast_retry and message.ready_at_us <= state.now_us for message in destination.queue)
 
 
 def _weight_change_by_waiting(state: PolicyState, destination: Destination) -> functools.partial[float]:
-    """A function of a message: what it loses by going later, for each time unit that its slot is taken.
+    """Return a function of a message: the change of its weight by waiting, per microsecond of slot time.
 
-    Where slots are short, what waits for them waits for all calls queued, and one that keeps its slot long
-    costs others theirs: hanging and slow groups get what is left.
+    The change is negative if the message loses weight. A message that waits for a slot waits for the calls of
+    all queued messages. The division by the slot time ranks slow or hanging groups last where slots are
+    short, since their calls occupy slots that others need.
     """
     groups = destination.groups
     rate = sum(group.rate_limit_per_s or group.success_rate_per_s or 1.0 for group in groups)
@@ -97,7 +115,10 @@
 
 
 def weight_at(state: PolicyState, message: Message, at_us: float) -> float:
-    """What the message is worth if it is delivered at that time."""
+    """Return the weight of the message if it is delivered at that time.
+
+    It is the full weight up to the latency objective, less after it, and 0 from the deadline on.
+    """
     message_class = message.message_class
     objective_us, late_share = message_class.latency_objective_us, message_class.late_weight_share
     late_us = at_us - message.submitted_at_us - objective_us
@@ -112,7 +133,10 @@
 
 
 def batch_companions(state: PolicyState, message: Message, endpoint: Endpoint) -> list[Message]:
-    """The messages that travel in one call with this one, in the order of arrival."""
+    """Return the messages that are sent in one call with this one, in the order of arrival.
+
+    There are none if the endpoint's circuit is open: a half-open attempt carries a single message.
+    """
     destination = endpoint.group.destination
     max_companions = (
         0
@@ -127,10 +151,14 @@
 
 
 def _endpoint_rank(state: PolicyState, message: Message, endpoint: Endpoint) -> EndpointRank:
-    """Healthy first, then not the one that just failed, one with an idle connection, the cheap one."""
+    """Return a sort key; the endpoint with the lowest one is used.
+
+    In order of importance: a closed circuit, an endpoint other than the one of the message's last attempt, a
+    low failure rate, a reusable idle connection, low cost, few calls in flight.
+    """
     oldest_reusable_us = state.now_us - state.statistics.idle_reuse_limit_us
     reusable = any(since_us > oldest_reusable_us for since_us in endpoint.idle_since_us)
-    if state.large_fleet:  # by chance, as the rates of the endpoints are
+    if state.large_fleet:  # random, with probabilities in proportion to the endpoints' rates
         group = endpoint.group
         rate = (group.advertised_rate_per_s or 1.0) * (REJECTION_RATE_OFFSET - group.rejection_rate)
         cost = state.random.expovariate(rate)
