--- a/tests/test_recovery_budget.py
+++ b/tests/test_recovery_budget.py
@@ -22,8 +22,13 @@
 )
 from message_relay.policy.delivery_policy import DeliveryPolicy
 
-DOWN, BACK, END = 6.0, 11.0, 26.0  # seconds
-SLOW_START_SHARE, SLOW_START_S, OVERLOAD_FACTOR, OVERLOAD_WINDOW_S = 0.2, 9.5, 2.0, 3.0
+DOWN = 6.0  # seconds
+BACK = 11.0
+END = 26.0
+SLOW_START_SHARE = 0.2
+SLOW_START_S = 9.5
+OVERLOAD_FACTOR = 2.0
+OVERLOAD_WINDOW_S = 3.0
 LOAD = 0.7  # of the limit
 RATE_SOURCES = {
     "silent": {},
