--- a/tests/test_delivery_policy.py
+++ b/tests/test_delivery_policy.py
@@ -26,7 +26,7 @@
     assert len(actions_of(SendAttempt, driver.end_attempt(1, AttemptResult.OK))) == 2
 
 
-def test_draining_endpoint_gets_nothing():
+def test_draining_endpoint_gets_no_calls():
     driver = PolicyDriver(endpoints=2)
     driver.run_tick(
         EndpointListReceived(EndpointListForm.DELTA, (EndpointEntry(100, 1, EndpointState.DRAINING),))
@@ -48,7 +48,7 @@
     assert not endpoint.circuit.open and endpoint.circuit.slow_start_since_us < 0
 
 
-def test_short_slots_go_first_to_the_group_that_releases_them_sooner():
+def test_scarce_slots_go_first_to_the_group_that_occupies_them_for_less_time():
     driver = PolicyDriver(call_slots=2)
     driver.run_tick(
         EndpointListReceived(EndpointListForm.DELTA, (EndpointEntry(200, 2, EndpointState.READY),))
@@ -60,20 +60,20 @@
             driver.last_message, AttemptResult.OK, latency=1_000_000, after=1_000_000, endpoint=200
         )
     driver.submit()
-    first = driver.last_message
+    in_flight_message = driver.last_message
     driver.submit(destination=2)
-    waiting = driver.last_message
+    queued_message = driver.last_message
     for destination in (2, 1, 2, 1):
         driver.submit(destination=destination)
     driver.advance(0.9, step=0.3)
-    actions = driver.end_attempt(first, AttemptResult.OK, after=0)
-    assert waiting and [action.endpoint for action in actions_of(SendAttempt, actions)] == [100]
+    actions = driver.end_attempt(in_flight_message, AttemptResult.OK, after=0)
+    assert queued_message and [action.endpoint for action in actions_of(SendAttempt, actions)] == [100]
 
 
 @pytest.mark.parametrize(
     "result", [AttemptResult.NOT_ATTEMPTED, AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED]
 )
-def test_message_that_ended_by_itself_does_not_record_the_outcome_of_its_batch(result):
+def test_inconclusive_attempt_does_not_record_the_outcome_of_its_batched_call(result):
     driver = PolicyDriver(destination_types=(DestinationType("k", max_batch_size=2),))
     driver.submit()
     for message_class in (0, 0):
@@ -86,7 +86,7 @@
     assert sum(len(actions_of(SendAttempt, driver.submit())) for _ in range(4)) >= 3
 
 
-def test_batch_that_is_lost_completely_counts_as_a_failure():
+def test_lost_batch_counts_as_a_failure():
     driver = PolicyDriver(destination_types=(DestinationType("k", max_batch_size=2),))
     driver.submit()
     for _ in range(2):
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -40,8 +40,8 @@
 def test_stale_idle_connections_are_closed_before_use_after_two_lost_calls():
     driver = PolicyDriver()
 
-    def call(idle, result):
-        driver.policy.state.endpoints[100].idle_since_us = [driver.now - idle]
+    def send_call(idle_us, result):
+        driver.policy.state.endpoints[100].idle_since_us = [driver.now - idle_us]
         circuit = driver.policy.state.endpoints[100].circuit
         (
             circuit.open,
@@ -57,20 +57,20 @@
         driver.advance(1)
         return len(actions_of(CloseIdleConnections, actions))
 
-    assert not call(6 * SECOND, AttemptResult.OK)
+    assert not send_call(6 * SECOND, AttemptResult.OK)
     assert (
-        not call(4 * SECOND, AttemptResult.RESET)
+        not send_call(4 * SECOND, AttemptResult.RESET)
         and driver.policy.state.statistics.idle_reuse_limit_us == 10 * SECOND
     )  # one lost call may be chance
     assert (
-        not call(4 * SECOND, AttemptResult.RESET)
+        not send_call(4 * SECOND, AttemptResult.RESET)
         and driver.policy.state.statistics.idle_reuse_limit_us < 4 * SECOND
     )
-    trusted = driver.policy.state.statistics.idle_reuse_limit_us
-    assert call(4 * SECOND, AttemptResult.OK) == 1
+    reuse_limit_us = driver.policy.state.statistics.idle_reuse_limit_us
+    assert send_call(4 * SECOND, AttemptResult.OK) == 1
     assert (
-        not call(trusted // 2, AttemptResult.OK)
-        and driver.policy.state.statistics.idle_reuse_limit_us > trusted
+        not send_call(reuse_limit_us // 2, AttemptResult.OK)
+        and driver.policy.state.statistics.idle_reuse_limit_us > reuse_limit_us
     )
 
 
@@ -129,16 +129,18 @@
                 if isinstance(action, SendAttempt):
                     sent.append((now, policies[instance].state.endpoints[100].circuit.failure_rate > 0))
                     attempt = policies[instance].state.messages[action.message].attempts - 1
-                    calls.append(((now + 50_000, instance), ended(action.message, attempt, result)))
-    informed = sum(1 for at, seen in sent if seen and at > 1000 * SECOND + 20 * SECOND) / 20
-    assert 0 < informed <= overload_factor * slow_start_share * rate
+                    calls.append(((now + 50_000, instance), attempt_ended(action.message, attempt, result)))
+    calls_per_s_after_failure = (
+        sum(1 for at, after_failure in sent if after_failure and at > 1000 * SECOND + 20 * SECOND) / 20
+    )
+    assert 0 < calls_per_s_after_failure <= overload_factor * slow_start_share * rate
 
 
-def ended(message, attempt, result):
+def attempt_ended(message, attempt, result):
     return AttemptEnded(message, attempt, 100, result, 50_000, False, 0)
 
 
-def test_single_quick_failure_is_retried_and_forgiven():
+def test_single_fast_failure_is_retried_and_causes_no_slow_start():
     driver = large_fleet(rate=10.0)
     driver.submit()
     actions = driver.end_attempt(1, AttemptResult.CONNECT_FAILED, latency=20_000)
@@ -155,7 +157,7 @@
 
 
 def test_tokens_do_not_accrue_during_retry_after():
-    starts = 0
+    sent_after_wait = 0
     for seed in range(40):
         driver = large_fleet(rate=10.0)
         driver.policy.state.random.seed(seed)
@@ -166,12 +168,14 @@
         for _ in range(8):
             actions += driver.submit(after=SECOND * 95 // 100)
         assert not actions_of(SendAttempt, actions)
-        starts += len(actions_of(SendAttempt, driver.advance(2)))  # the waits of all instances end together
-    assert not starts
+        sent_after_wait += len(
+            actions_of(SendAttempt, driver.advance(2))
+        )  # the waits of all instances end together
+    assert not sent_after_wait
 
 
 def test_instances_spread_over_endpoints_in_proportion_to_their_rates():
-    chosen = {}
+    calls_by_endpoint = {}
     for seed in range(200):
         policy = DeliveryPolicy(
             Settings(
@@ -195,8 +199,8 @@
             ],
         )
         endpoint = actions_of(SendAttempt, actions)[0].endpoint
-        chosen[endpoint] = chosen.get(endpoint, 0) + 1
-    assert 130 < chosen[100] < 170
+        calls_by_endpoint[endpoint] = calls_by_endpoint.get(endpoint, 0) + 1
+    assert 130 < calls_by_endpoint[100] < 170
 
 
 def test_where_calls_are_rejected_a_share_of_new_messages_is_rejected_unsent():
@@ -204,13 +208,13 @@
     for _ in range(6):
         for action in actions_of(SendAttempt, driver.submit(after=3 * SECOND)):
             driver.end_attempt(action.message, AttemptResult.REJECTED)
-    unsent = 0
+    rejected_unsent = 0
     for _ in range(30):
         actions = driver.submit(after=SECOND)
-        unsent += len(actions_of(RejectMessage, actions))
+        rejected_unsent += len(actions_of(RejectMessage, actions))
         for action in actions_of(SendAttempt, actions):
             driver.end_attempt(action.message, AttemptResult.REJECTED)
-    assert 15 < unsent < 30
+    assert 15 < rejected_unsent < 30
     for _ in range(60):
         for action in actions_of(SendAttempt, driver.submit(after=SECOND) + driver.advance(0.2)):
             driver.end_attempt(action.message, AttemptResult.OK)
@@ -227,7 +231,7 @@
     assert rejected >= 4
 
 
-def test_longest_waiting_messages_of_one_destination_are_rejected_to_make_room():
+def test_longest_queue_is_shed_near_the_capacity():
     driver = PolicyDriver(max_open_messages=10)
     driver.run_tick(
         EndpointListReceived(
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("instance_count, limited", [(2, True), (40, True), (400, False)])
-def test_reported_limit_applies_at_once_where_an_instance_has_a_sizeable_part_of_it(instance_count, limited):
+def test_reported_limit_applies_at_once_except_in_a_large_fleet(instance_count, limited):
     driver = PolicyDriver(instance_count=instance_count, call_slots=4, load_report_fields=("x0", "x1"))
     driver.run_tick(LoadReportReceived(100, (0.5, 40.0)))
     group = driver.policy.state.endpoints[100].group
@@ -27,13 +27,13 @@
     )
 
 
-def report_load(driver, remaining, limit, endpoint=100):
-    driver.run_tick(LoadReportReceived(endpoint, (remaining, limit)))
+def report_load(driver, remaining_share, limit, endpoint=100):
+    driver.run_tick(LoadReportReceived(endpoint, (remaining_share, limit)))
     return driver.policy.state.endpoints[100].group
 
 
 @pytest.mark.parametrize("instance_count", [1, 3, 40])
-def test_exhausted_limit_leaves_each_instance_its_part(instance_count):
+def test_exhausted_limit_cuts_each_instance_to_its_share(instance_count):
     driver = PolicyDriver(instance_count=instance_count, call_slots=4, load_report_fields=("x0", "x1"))
     report_load(driver, 0.6, 40.0).rate_limit_per_s = 40.0  # it used what the others left
     assert report_load(driver, 0.3, 40.0).rate_limit_per_s == 40.0
@@ -43,13 +43,13 @@
     assert report_load(driver, 0.0, 40.0).rate_limit_per_s == 0.5 * 40 / instance_count
 
 
-@pytest.mark.parametrize("remaining", [float("nan"), float("inf"), -float("inf"), -0.5])
-def test_invalid_remaining_share_changes_nothing(remaining):
+@pytest.mark.parametrize("remaining_share", [float("nan"), float("inf"), -float("inf"), -0.5])
+def test_invalid_remaining_share_changes_nothing(remaining_share):
     driver = mid_size_fleet()
     report_load(driver, 0.6, 40.0).rate_limit_per_s = 3.0
     assert (
-        report_load(driver, remaining, 40.0).rate_limit_per_s == 3.0
-        and report_load(driver, remaining, 40.0).advertised_rate_per_s == 1.0
+        report_load(driver, remaining_share, 40.0).rate_limit_per_s == 3.0
+        and report_load(driver, remaining_share, 40.0).advertised_rate_per_s == 1.0
     )
 
 
--- a/tests/test_mid_size_fleet.py
+++ b/tests/test_mid_size_fleet.py
@@ -15,7 +15,7 @@
 from message_relay.policy.delivery_policy import DeliveryPolicy
 
 
-def test_dead_endpoint_opens_no_other_circuit_at_forty_instances():
+def test_failing_endpoint_opens_no_other_circuit_at_forty_instances():
     driver = mid_size_fleet(endpoints=2)
     for _ in range(6):  # each is retried elsewhere until the dead endpoint is known as such
         for action in actions_of(SendAttempt, driver.submit(after=SECOND)):
@@ -44,7 +44,7 @@
 
 
 def test_first_calls_of_forty_instances_spread_over_the_endpoints():
-    first = {}
+    instances_by_endpoint = {}
     for seed in range(40):
         policy = DeliveryPolicy(
             Settings(
@@ -61,21 +61,23 @@
                 MessageSubmitted(1, 0, 1, 9 * SECOND),
             ],
         )
-        first.setdefault(actions_of(SendAttempt, actions)[0].endpoint, []).append(seed)
-    assert len(first) == 4 and max(map(len, first.values())) < 20
+        instances_by_endpoint.setdefault(actions_of(SendAttempt, actions)[0].endpoint, []).append(seed)
+    assert len(instances_by_endpoint) == 4 and max(map(len, instances_by_endpoint.values())) < 20
 
 
-def test_instance_keeps_its_connection_among_equal_endpoints():
+def test_instance_reuses_its_connection_among_equal_endpoints():
     driver = mid_size_fleet(endpoints=4)
-    used = set()
+    used_endpoints = set()
     for _ in range(10):
         (action,) = actions_of(SendAttempt, driver.submit(after=100_000))
-        used.add(action.endpoint)
+        used_endpoints.add(action.endpoint)
         driver.end_attempt(action.message, AttemptResult.OK, endpoint=action.endpoint)
-    assert len(used) == 1  # one more would cost a handshake, and a place in its table of connections
+    assert (
+        len(used_endpoints) == 1
+    )  # one more would cost a handshake, and a place in its table of connections
 
 
-def test_instances_that_start_together_send_first_calls_and_then_their_part():
+def test_instances_that_start_together_send_one_call_each_and_then_their_share():
     instance_count, limit = 40, 40.0
     settings = dict(
         classes=CLASSES,
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -35,13 +35,13 @@
 NOT_APPLIED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_ATTEMPTED)
 
 
-def random_settings(chance):
+def random_settings(rng):
     keyed = {
         "idempotency": Idempotency.KEYED,
         "key_window_us": 4 * SECOND,
-        "key_scope": chance.choice((KeyScope.ALL, KeyScope.ZONE)),
+        "key_scope": rng.choice((KeyScope.ALL, KeyScope.ZONE)),
     }
-    ordered = chance.random() < 0.5
+    ordered = rng.random() < 0.5
     return Settings(
         classes=(
             MessageClass("s", SECOND, 5 * SECOND, priority_weight=2.0),
@@ -56,37 +56,37 @@
             ),
         ),
         destination_types=(
-            DestinationType("a", chance.random() < 0.5, chance.choice((1, 4))),
+            DestinationType("a", rng.random() < 0.5, rng.choice((1, 4))),
             DestinationType("b"),
         ),
-        call_slots=chance.randint(1, 12),
+        call_slots=rng.randint(1, 12),
         max_open_messages=30,
-        tenants=(Tenant("t", 0.5, 3.0),) if chance.random() < 0.5 else (),
-        instance_count=chance.randint(1, 4),
-        max_attempts=chance.randint(1, 8),
-        rate_limits_advertised=chance.random() < 0.5,
+        tenants=(Tenant("t", 0.5, 3.0),) if rng.random() < 0.5 else (),
+        instance_count=rng.randint(1, 4),
+        max_attempts=rng.randint(1, 8),
+        rate_limits_advertised=rng.random() < 0.5,
         zone_costs=(0.1, 0.0),
         max_retry_after_us=SECOND,
         order_key_pause_us=SECOND // 2,
         answer_slack_us=20_000,
         tick_interval_us=TICK_US,
-        clients_mark_retries=chance.random() < 0.5,
+        clients_mark_retries=rng.random() < 0.5,
     )
 
 
 @examples(max_examples=40, derandomize=True, deadline=None)
 @given(seed=st.integers(0, 2**32))
 def test_policy_rules_hold_for_arbitrary_events(seed):
-    chance = random.Random(seed)
-    settings = random_settings(chance)
+    rng = random.Random(seed)
+    settings = random_settings(rng)
     policy = DeliveryPolicy(settings, seed)
     locations = {100 + n: (n % 3, n % 2) for n in range(6)}  # endpoint: destination, zone
     state = dict.fromkeys(locations, EndpointState.READY)
     independent = [settings.destination_types[d % 2].independent_endpoints for d in range(3)]
     batch = [settings.destination_types[d % 2].max_batch_size for d in range(3)]
     now, last_message, retry_after_until, timers = 10 * SECOND, 0, {}, []
-    live, history, in_flight, ended, order, paused_until = {}, {}, {}, {}, [], {}
-    result_weights = chance.choice(((9, 1, 1, 1, 1, 1, 1), (1, 3, 3, 3, 3, 1, 1), (5, 0, 4, 0, 4, 0, 0)))
+    open_messages, history, in_flight, ended, order, paused_until = {}, {}, {}, {}, [], {}
+    result_weights = rng.choice(((9, 1, 1, 1, 1, 1, 1), (1, 3, 3, 3, 3, 1, 1), (5, 0, 4, 0, 4, 0, 0)))
 
     def group_of(endpoint):
         return endpoint if independent[locations[endpoint][0]] else locations[endpoint][0] - 10
@@ -108,51 +108,47 @@
             timers.remove(min(timers))
             inbox.append(TimerFired(0))
         for key in [k for k in in_flight if in_flight[k][1] <= now]:
-            endpoint, _, forced, sent = in_flight.pop(key)
-            result = forced or chance.choices(list(AttemptResult)[:7], result_weights)[0]
+            endpoint, _, forced_result, sent = in_flight.pop(key)
+            result = forced_result or rng.choices(list(AttemptResult)[:7], result_weights)[0]
             if result in (AttemptResult.NOT_ATTEMPTED, AttemptResult.CANCELLED):
                 result = AttemptResult.ERROR
-            retry_after = chance.choice((0, 300_000, 3 * SECOND)) if result is AttemptResult.REJECTED else 0
+            retry_after = rng.choice((0, 300_000, 3 * SECOND)) if result is AttemptResult.REJECTED else 0
             if retry_after:
                 retry_after_until[group_of(endpoint)] = max(
                     retry_after_until.get(group_of(endpoint), 0), now + retry_after
                 )
             history[key[0]].append((result, endpoint, sent))
-            submitted = ended.get(key[0]) or live[key[0]]
+            submitted = ended.get(key[0]) or open_messages[key[0]]
             if result in (AttemptResult.TIMEOUT, AttemptResult.RESET) and submitted.order_key:
                 paused_until[submitted.order_key] = now + settings.order_key_pause_us
             message_ended = result is AttemptResult.OK or key[0] in ended
-            if message_ended and key[0] in live:
-                ended[key[0]] = live.pop(key[0])
+            if message_ended and key[0] in open_messages:
+                ended[key[0]] = open_messages.pop(key[0])
             inbox.append(
                 AttemptEnded(key[0], key[1], endpoint, result, now - sent, message_ended, retry_after)
             )
-        if chance.random() < 0.08 and len(live) < settings.max_open_messages:
+        if rng.random() < 0.08 and len(open_messages) < settings.max_open_messages:
             last_message += 1
-            message_class = chance.randrange(3)
-            key = (
-                chance.randint(1, 3)
-                if settings.classes[message_class].ordered and chance.random() < 0.7
-                else 0
-            )
-            live[last_message] = MessageSubmitted(
+            message_class = rng.randrange(3)
+            key = rng.randint(1, 3) if settings.classes[message_class].ordered and rng.random() < 0.7 else 0
+            open_messages[last_message] = MessageSubmitted(
                 last_message,
                 message_class,
-                chance.randrange(3),
+                rng.randrange(3),
                 now + settings.classes[message_class].deadline_us,
                 0,
                 key,
             )
             history[last_message] = []
             order.append(last_message)
-            inbox.append(live[last_message])
-        if chance.random() < 0.003:
-            endpoint = chance.choice(list(locations))
-            state[endpoint] = chance.choice((EndpointState.READY, EndpointState.DRAINING))
+            inbox.append(open_messages[last_message])
+        if rng.random() < 0.003:
+            endpoint = rng.choice(list(locations))
+            state[endpoint] = rng.choice((EndpointState.READY, EndpointState.DRAINING))
             inbox.append(EndpointListReceived(EndpointListForm.DELTA, (entry(endpoint),)))
-        if live and chance.random() < 0.002:
-            withdrawn = chance.choice(list(live))
-            ended[withdrawn] = live.pop(withdrawn)
+        if open_messages and rng.random() < 0.002:
+            withdrawn = rng.choice(list(open_messages))
+            ended[withdrawn] = open_messages.pop(withdrawn)
             inbox.append(MessageWithdrawn(withdrawn))
         if not inbox:
             continue
@@ -161,8 +157,8 @@
             if isinstance(action, SetTimer):
                 timers.append(now + action.delay_us)
             elif isinstance(action, SendAttempt):
-                assert action.message in live, "sent after its end"
-                message = live[action.message]
+                assert action.message in open_messages, "sent after its end"
+                message = open_messages[action.message]
                 message_class = settings.classes[message.message_class]
                 assert (
                     locations[action.endpoint][0] == message.destination
@@ -186,24 +182,26 @@
                     before = [
                         x
                         for x in order[: order.index(action.message)]
-                        if (live.get(x) or ended[x]).order_key == message.order_key
+                        if (open_messages.get(x) or ended[x]).order_key == message.order_key
+                    ]
+                    assert not [
+                        x for x in before if x in open_messages or [k for k in in_flight if k[0] == x]
                     ]
-                    assert not [x for x in before if x in live or [k for k in in_flight if k[0] == x]]
                     assert history[action.message] or now >= paused_until.get(message.order_key, 0)
                 end = now + min(action.timeout_us, message.deadline_us - now)
-                due = now + chance.choice((20_000, 100_000, 400_000, 20 * SECOND))
-                forced = AttemptResult.TIMEOUT if due >= end else None
+                due = now + rng.choice((20_000, 100_000, 400_000, 20 * SECOND))
+                forced_result = AttemptResult.TIMEOUT if due >= end else None
                 in_flight[(action.message, len(history[action.message]))] = (
                     action.endpoint,
                     min(due, end),
-                    forced,
+                    forced_result,
                     now,
                 )
                 calls[action.endpoint] = calls.get(action.endpoint, 0) + 1
             elif isinstance(action, (RejectMessage, FailMessage)):
                 if MessageWithdrawn(action.message) in inbox:
                     continue  # its end was reported in this very tick
-                message = live.pop(action.message)
+                message = open_messages.pop(action.message)
                 ended[action.message] = message
                 assert now <= message.deadline_us + settings.answer_slack_us
                 message_class = settings.classes[message.message_class]
@@ -226,7 +224,7 @@
                 busy = len([1 for endpoint, *_ in in_flight.values() if locations[endpoint][0] == d])
                 assert busy <= max(1, int(DESTINATION_SLOT_SHARE * settings.call_slots))
         inbox = []
-        assert all(now <= message.deadline_us + settings.answer_slack_us for message in live.values()), (
-            "no final answer"
-        )
+        assert all(
+            now <= message.deadline_us + settings.answer_slack_us for message in open_messages.values()
+        ), "no final answer"
     assert last_message > 20  # the run was not empty
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -44,10 +44,10 @@
 
 
 def test_rate_grows_slowly_near_the_last_rejected_rate():
-    def growth(rejected):
+    def rate_increase(with_rejection):
         driver = PolicyDriver(rate=4.0, instance_count=2)
         serve(driver, 3, AttemptResult.OK)
-        if rejected:
+        if with_rejection:
             for action in actions_of(SendAttempt, driver.submit() + driver.advance(1)):
                 driver.end_attempt(action.message, AttemptResult.REJECTED)
         group = driver.policy.state.endpoints[100].group
@@ -55,17 +55,17 @@
         serve(driver, 3, AttemptResult.OK)
         return group.rate_limit_per_s - 2.0
 
-    assert 0 < growth(True) < 0.7 * growth(False)
+    assert 0 < rate_increase(True) < 0.7 * rate_increase(False)
 
 
 def test_token_bucket_is_smaller_where_rejected_calls_have_a_cost():
-    def at_once(cost):
+    def burst_size(cost):
         driver = PolicyDriver(rate=10.0, call_slots=40, rejected_call_cost=cost)
         driver.policy.state.endpoints[100].group.concurrency_window = 20.0
         driver.advance(2)
         return sum(len(actions_of(SendAttempt, driver.submit())) for _ in range(12))
 
-    assert 1 < at_once(0.1) < at_once(0.0) < 12
+    assert 1 < burst_size(0.1) < burst_size(0.0) < 12
 
 
 def test_calls_for_ended_messages_do_not_consume_the_rate_limit():
@@ -102,6 +102,6 @@
 def test_rate_follows_the_limit_in_load_reports():
     driver = PolicyDriver(instance_count=2, load_report_fields=("x0", "x1"))
     assert sends_in_a_second(driver, 100.0) == 12
-    few = sends_in_a_second(driver, 4.0)
-    assert few < 9  # this instance's part is two a second, and success had doubled its rate
-    assert sends_in_a_second(driver, 100.0) == 12 + 12 - few  # and at once when it is back
+    sent_at_low_limit = sends_in_a_second(driver, 4.0)
+    assert sent_at_low_limit < 9  # this instance's part is two a second, and success had doubled its rate
+    assert sends_in_a_second(driver, 100.0) == 12 + 12 - sent_at_low_limit  # and at once when it is back
--- a/tests/test_recovery_budget.py
+++ b/tests/test_recovery_budget.py
@@ -22,14 +22,14 @@
 )
 from message_relay.policy.delivery_policy import DeliveryPolicy
 
-DOWN = 6.0  # seconds
-BACK = 11.0
-END = 26.0
+OUTAGE_START_S = 6.0  # seconds
+OUTAGE_END_S = 11.0
+END_S = 26.0
 SLOW_START_SHARE = 0.2
 SLOW_START_S = 9.5
 OVERLOAD_FACTOR = 2.0
 OVERLOAD_WINDOW_S = 3.0
-LOAD = 0.7  # of the limit
+LOAD_SHARE = 0.7  # of the limit
 RATE_SOURCES = {
     "silent": {},
     "listed": {"rate_limits_advertised": True},
@@ -42,7 +42,7 @@
 
     def __init__(self, instance_count, limit, failure, rate_source, seed):
         self.limit, self.failure, self.rate_source = limit, failure, rate_source
-        self.random, self.queue, self.count = random.Random(seed), [], 0
+        self.random, self.queue, self.event_count = random.Random(seed), [], 0
         rate = limit if rate_source == "listed" else 0.0
         entries = tuple(EndpointEntry(100 + n, 1, EndpointState.READY, rate) for n in range(2))
         settings = dict(
@@ -64,82 +64,84 @@
             DeliveryPolicy(Settings(instance_index=instance, **settings), self.random.randrange(1 << 60))
             for instance in range(instance_count)
         ]
-        self.sent_at, self.informed, self.served_at, self.offered_at = [], set(), [], []
+        self.sent_at, self.failed_instances, self.served_at, self.offered_at = [], set(), [], []
         for instance in range(instance_count):
             self.schedule(0.0, instance, EndpointListReceived(EndpointListForm.CACHED, entries))
         self.schedule_messages()
         self.run()
 
-    def schedule(self, at, instance, event):
-        self.count += 1
-        heapq.heappush(self.queue, (at, self.count, instance, event))
+    def schedule(self, at_s, instance, event):
+        self.event_count += 1
+        heapq.heappush(self.queue, (at_s, self.event_count, instance, event))
 
     def schedule_messages(self):
         weights = [self.random.lognormvariate(0, 0.6) for _ in self.policies]  # some see much more
-        at = 0.0
-        while (at := at + self.random.expovariate(self.limit * LOAD)) < END:
+        at_s = 0.0
+        while (at_s := at_s + self.random.expovariate(self.limit * LOAD_SHARE)) < END_S:
             instance = self.random.choices(range(len(weights)), weights)[0]
-            deadline_us = 1000 * SECOND + int(at * SECOND) + 10 * SECOND
-            self.offered_at.append(at)
-            self.schedule(at, instance, MessageSubmitted(self.count, 0, 1, deadline_us))
+            deadline_us = 1000 * SECOND + int(at_s * SECOND) + 10 * SECOND
+            self.offered_at.append(at_s)
+            self.schedule(at_s, instance, MessageSubmitted(self.event_count, 0, 1, deadline_us))
 
     def run(self):
-        while self.queue and self.queue[0][0] < END:
-            at, _, instance, event = heapq.heappop(self.queue)
+        while self.queue and self.queue[0][0] < END_S:
+            at_s, _, instance, event = heapq.heappop(self.queue)
             events = [event] if event else []
             if isinstance(event, AttemptEnded) and event.result is not AttemptResult.OK:
-                self.informed.add(instance)
+                self.failed_instances.add(instance)
             elif isinstance(event, AttemptEnded) and self.rate_source == "reported":
                 events.append(LoadReportReceived(event.endpoint, (0.5, self.limit)))
-            for action in self.policies[instance].handle(1000 * SECOND + int(at * SECOND), events):
+            for action in self.policies[instance].handle(1000 * SECOND + int(at_s * SECOND), events):
                 if isinstance(action, SendAttempt):
-                    self.call(at, instance, action)
+                    self.call(at_s, instance, action)
                 elif isinstance(action, SetTimer):
-                    self.schedule(at + max(0.001, action.delay_us / SECOND), instance, None)
+                    self.schedule(at_s + max(0.001, action.delay_us / SECOND), instance, None)
 
-    def call(self, at, instance, action):
-        self.sent_at.append((at, instance in self.informed))
-        took, result, wait = 0.15, AttemptResult.OK, 0
-        if DOWN <= at < BACK:
-            took, result, wait = {
+    def call(self, at_s, instance, action):
+        self.sent_at.append((at_s, instance in self.failed_instances))
+        latency_s, result, retry_after_us = 0.15, AttemptResult.OK, 0
+        if OUTAGE_START_S <= at_s < OUTAGE_END_S:
+            latency_s, result, retry_after_us = {
                 "refused": (0.02, AttemptResult.CONNECT_FAILED, 0),
                 "hangs": (action.timeout_us / SECOND, AttemptResult.TIMEOUT, 0),
                 "errors": (0.05, AttemptResult.ERROR, 0),
-                "shut": (0.02, AttemptResult.REJECTED, int((BACK - at) * SECOND)),
+                "shut": (0.02, AttemptResult.REJECTED, int((OUTAGE_END_S - at_s) * SECOND)),
             }[self.failure]
         elif (
-            sum(served > at - 1 for served in self.served_at[-int(1.2 * self.limit) - 1 :])
+            sum(served > at_s - 1 for served in self.served_at[-int(1.2 * self.limit) - 1 :])
             >= 1.2 * self.limit
         ):
-            took, result, wait = 0.02, AttemptResult.REJECTED, SECOND // 2
+            latency_s, result, retry_after_us = 0.02, AttemptResult.REJECTED, SECOND // 2
         else:
-            self.served_at.append(at)
+            self.served_at.append(at_s)
         attempt = self.policies[instance].state.messages[action.message].attempts - 1
         outcome = AttemptEnded(
             action.message,
             attempt,
             action.endpoint,
             result,
-            int(took * SECOND),
+            int(latency_s * SECOND),
             result is AttemptResult.OK,
-            wait,
+            retry_after_us,
         )
-        self.schedule(at + took, instance, outcome)
+        self.schedule(at_s + latency_s, instance, outcome)
 
     def budget_used(self):
         """The most that informed instances sent in a window after the outage, as a share of the budget."""
-        sent = [at for at, knew in self.sent_at if knew and at >= BACK]
-        most = 0.0
-        for n, at in enumerate(sent):
+        sent = [at_s for at_s, had_failure in self.sent_at if had_failure and at_s >= OUTAGE_END_S]
+        maximum_share = 0.0
+        for n, at_s in enumerate(sent):
             share = [
-                min(1.0, SLOW_START_SHARE + (1 - SLOW_START_SHARE) * max(0.0, x - BACK) / SLOW_START_S)
-                for x in (at - OVERLOAD_WINDOW_S, at)
+                min(
+                    1.0, SLOW_START_SHARE + (1 - SLOW_START_SHARE) * max(0.0, x - OUTAGE_END_S) / SLOW_START_S
+                )
+                for x in (at_s - OVERLOAD_WINDOW_S, at_s)
             ]
             if share[1] < 1.0:
                 allowed = OVERLOAD_FACTOR * self.limit * OVERLOAD_WINDOW_S * sum(share) / 2
-                calls = sum(x > at - OVERLOAD_WINDOW_S for x in sent[: n + 1])
-                most = max(most, calls / (allowed + 2 * math.sqrt(allowed) + 2))
-        return most
+                calls = sum(x > at_s - OVERLOAD_WINDOW_S for x in sent[: n + 1])
+                maximum_share = max(maximum_share, calls / (allowed + 2 * math.sqrt(allowed) + 2))
+        return maximum_share
 
 
 @pytest.mark.parametrize("rate_source", RATE_SOURCES)
@@ -153,6 +155,6 @@
     for seed in range(3):
         fleet = RecoveringFleet(instance_count, limit, failure, rate_source, seed)
         assert fleet.budget_used() <= 1.0
-        last = [at for at, _ in fleet.sent_at if at > END - 5]
-        offered = [at for at in fleet.offered_at if at > END - 5]
-        assert len(last) >= 0.6 * len(offered)  # and the slow start ends at the full rate
+        late_sent = [at_s for at_s, _ in fleet.sent_at if at_s > END_S - 5]
+        late_offered = [at_s for at_s in fleet.offered_at if at_s > END_S - 5]
+        assert len(late_sent) >= 0.6 * len(late_offered)  # and the slow start ends at the full rate
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -27,7 +27,7 @@
     assert [action.message for action in actions_of(RejectMessage, driver.advance(0.5))] == [1]
 
 
-def test_overload_rejects_the_message_and_passes_retry_after_on():
+def test_overload_rejects_the_message_with_the_retry_after_of_the_endpoint():
     driver = PolicyDriver()
     driver.submit(message_class=2)
     actions = driver.end_attempt(1, AttemptResult.REJECTED, retry_after=SECOND)
@@ -70,7 +70,7 @@
     assert actions_of(RejectMessage, driver.advance(0.02, step=0.005)) == [RejectMessage(1, 0)]
 
 
-def test_rejected_message_waits_here_where_clients_do_not_come_back():
+def test_rejected_message_is_retried_where_clients_do_not_resubmit():
     driver = PolicyDriver(clients_mark_retries=True, classes=CLASSES)
     driver.policy.state.rejections_since_resubmission = 20
     driver.submit()
@@ -85,7 +85,7 @@
     assert actions_of(RejectMessage, driver.end_attempt(1, AttemptResult.REJECTED))
 
 
-def test_non_idempotent_message_waits_while_calls_fail_ambiguously():
+def test_non_idempotent_message_is_deferred_while_calls_fail_ambiguously():
     driver = PolicyDriver(slow_start_us=10 * SECOND)
     warm_up(driver)
     driver.submit()
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -16,10 +16,10 @@
 )
 
 
-def resets(driver, reused, share):
-    """Calls of which one in `share` is reset; the others are answered."""
+def send_calls_with_resets(driver, reused, calls_per_reset):
+    """Calls of which one in `calls_per_reset` is reset; the others are answered."""
     endpoint = driver.policy.state.endpoints[100]
-    for n in range(2 * share):
+    for n in range(2 * calls_per_reset):
         endpoint.idle_since_us = [driver.now - SECOND // 10] if reused else []
         (
             endpoint.circuit.open,
@@ -29,15 +29,15 @@
             endpoint.ambiguous_failure_rate,
         ) = False, -1, None, 0.0, 0.0
         driver.submit(message_class=2)
-        ok = n % share > 0
+        succeeded = n % calls_per_reset > 0
         driver.run_tick(
             AttemptEnded(
                 driver.last_message,
                 0,
                 100,
-                AttemptResult.OK if ok else AttemptResult.RESET,
+                AttemptResult.OK if succeeded else AttemptResult.RESET,
                 100_000,
-                ok,
+                succeeded,
                 new_connection=not reused,
             ),
             after=100_000,
@@ -45,7 +45,7 @@
         driver.advance(1)
 
 
-def requires_new(driver):
+def requires_new_connection(driver):
     driver.policy.state.endpoints[100].idle_since_us = [driver.now - SECOND // 10]
     return actions_of(SendAttempt, driver.submit(message_class=2))[0].require_new_connection
 
@@ -53,16 +53,21 @@
 def test_new_connections_are_required_only_where_they_are_reset_less_often():
     driver = PolicyDriver()
     for _ in range(4):
-        resets(driver, True, 6)
-    assert requires_new(driver) and driver.policy.state.statistics.idle_reuse_limit_us < 10 * SECOND
+        send_calls_with_resets(driver, True, 6)
+    assert (
+        requires_new_connection(driver) and driver.policy.state.statistics.idle_reuse_limit_us < 10 * SECOND
+    )
     driver = PolicyDriver()
     for _ in range(4):
-        resets(driver, False, 6)
-        resets(driver, True, 6)
-    assert not requires_new(driver) and driver.policy.state.statistics.idle_reuse_limit_us == 10 * SECOND
+        send_calls_with_resets(driver, False, 6)
+        send_calls_with_resets(driver, True, 6)
+    assert (
+        not requires_new_connection(driver)
+        and driver.policy.state.statistics.idle_reuse_limit_us == 10 * SECOND
+    )
 
 
-def call(driver, reused, result=AttemptResult.TIMEOUT):
+def send_call(driver, reused, result=AttemptResult.TIMEOUT):
     """One call, on a connection that had been idle for a while or on a new one."""
     endpoint = driver.policy.state.endpoints[100]
     endpoint.idle_since_us = (
@@ -96,22 +101,22 @@
     driver = PolicyDriver()
     for _ in range(40):
         for reused in (True, False):
-            assert call(driver, reused)
+            assert send_call(driver, reused)
             for _ in range(4):
-                call(driver, reused, AttemptResult.OK)
+                send_call(driver, reused, AttemptResult.OK)
     assert driver.policy.state.statistics.idle_reuse_limit_us == 10 * SECOND
 
 
 def test_unanswered_calls_on_reused_connections_alone_shorten_idle_reuse():
     driver = PolicyDriver()
     for _ in range(6):
-        call(driver, True)
-        call(driver, False, AttemptResult.OK)
+        send_call(driver, True)
+        send_call(driver, False, AttemptResult.OK)
     assert driver.policy.state.statistics.idle_reuse_limit_us < 4 * SECOND
 
 
-def first_sent(batch, messages):
-    """What a free slot goes to: an urgent message for 2, or messages for 1 in batches of `batch`."""
+def first_sent(batch_size, message_count):
+    """What a free slot goes to: an urgent message for 2, or messages for 1 in batches of `batch_size`."""
     classes = (
         *CLASSES,
         MessageClass("urgent", latency_objective_us=SECOND, deadline_us=10 * SECOND, priority_weight=20.0),
@@ -119,7 +124,7 @@
     driver = PolicyDriver(
         call_slots=1,
         classes=classes,
-        destination_types=(DestinationType("batches", max_batch_size=batch), DestinationType("single")),
+        destination_types=(DestinationType("batches", max_batch_size=batch_size), DestinationType("single")),
     )
     driver.run_tick(
         EndpointListReceived(
@@ -130,7 +135,7 @@
     driver.submit(destination=3)
     driver.run_tick(
         MessageSubmitted(50, 3, 2, driver.now + 10 * SECOND),
-        *(MessageSubmitted(60 + n, 0, 1, driver.now + 10 * SECOND) for n in range(messages)),
+        *(MessageSubmitted(60 + n, 0, 1, driver.now + 10 * SECOND) for n in range(message_count)),
     )
     actions = driver.run_tick(AttemptEnded(1, 0, 300, AttemptResult.OK, 100_000, True), after=100_000)
     return [action.message for action in actions_of(SendAttempt, actions)]
@@ -145,7 +150,7 @@
 
 
 def test_group_with_a_lost_call_gets_a_slot_again_after_a_while():
-    def goes_first(pause):
+    def first_endpoint_served(pause_s):
         driver = PolicyDriver(call_slots=1, destination_types=(DestinationType("k"),))
         driver.run_tick(
             EndpointListReceived(
@@ -159,11 +164,13 @@
         driver.submit(message_class=2, destination=2)
         # One lost call; others are answered.
         driver.end_attempt(driver.last_message, AttemptResult.TIMEOUT, latency=4 * SECOND, endpoint=200)
-        busy = driver.last_message + 1
-        driver.submit(destination=3, after=int(pause * SECOND))
+        occupying_message = driver.last_message + 1
+        driver.submit(destination=3, after=int(pause_s * SECOND))
         for destination in (2, 1):
             driver.submit(destination=destination)
-        return actions_of(SendAttempt, driver.end_attempt(busy, AttemptResult.OK, endpoint=300))[0].endpoint
+        return actions_of(SendAttempt, driver.end_attempt(occupying_message, AttemptResult.OK, endpoint=300))[
+            0
+        ].endpoint
 
-    assert goes_first(0.1) == 100
-    assert goes_first(3) == 200
+    assert first_endpoint_served(0.1) == 100
+    assert first_endpoint_served(3) == 200
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -18,8 +18,8 @@
 def test_recovery_starts_slowly_and_reaches_the_full_rate(failure):
     driver = PolicyDriver(rate=8.0, slow_start_share=0.1, slow_start_us=10 * SECOND, overload_factor=2.5)
     serve(driver, 5, AttemptResult.OK)
-    down = serve(driver, 6, failure)
-    assert driver.policy.state.endpoints[100].circuit.open and down < 20
+    sent_in_outage = serve(driver, 6, failure)
+    assert driver.policy.state.endpoints[100].circuit.open and sent_in_outage < 20
     first, _, last = (
         serve(driver, 4, AttemptResult.OK),
         serve(driver, 8, AttemptResult.OK),
@@ -39,7 +39,7 @@
     assert not driver.policy.state.endpoints[100].circuit.open
 
 
-def sends_answered_with(driver, result, ticks):
+def sends_ended_with(driver, result, ticks):
     """How many calls go in so many ticks of 25 ms with a message each; all end with that result."""
     actions, sent, message_ended = [], 0, result is AttemptResult.OK
     while ticks > 0 or actions_of(SendAttempt, actions):  # also the calls of the last tick get their outcome
@@ -59,12 +59,12 @@
 def test_slow_start_uses_the_reported_limit_where_no_rate_was_measured():
     driver = PolicyDriver(instance_count=2, load_report_fields=("x0", "x1"), slow_start_share=0.3)
     # Started in the middle of an outage: half-open attempts only.
-    assert 3 < sends_answered_with(driver, AttemptResult.CONNECT_FAILED, 120) < 40
-    sends_answered_with(driver, AttemptResult.OK, 120)
+    assert 3 < sends_ended_with(driver, AttemptResult.CONNECT_FAILED, 120) < 40
+    sends_ended_with(driver, AttemptResult.OK, 120)
     driver.run_tick(LoadReportReceived(100, (1.0, 40.0)))
     assert driver.policy.state.endpoints[100].circuit.slow_start_since_us >= 0
     # In two seconds, the slow-start share of twenty a second.
-    assert 10 < sends_answered_with(driver, AttemptResult.OK, 80) < 40
+    assert 10 < sends_ended_with(driver, AttemptResult.OK, 80) < 40
 
 
 def test_outage_ends_in_a_slow_start_for_all_endpoints_of_the_group():
@@ -73,19 +73,19 @@
     for _ in range(3):
         driver.end_attempt(1, AttemptResult.CONNECT_FAILED, latency=20_000, endpoint=100)
         driver.advance(1)
-    one, other = (driver.policy.state.endpoints[endpoint] for endpoint in (100, 101))
-    assert one.circuit is other.circuit and one.circuit.open
+    first_endpoint, second_endpoint = (driver.policy.state.endpoints[endpoint] for endpoint in (100, 101))
+    assert first_endpoint.circuit is second_endpoint.circuit and first_endpoint.circuit.open
     for _ in range(20):
         sends = actions_of(SendAttempt, driver.submit(after=100_000))
         if sends:
             driver.end_attempt(sends[0].message, AttemptResult.OK)
             break
-    assert not one.circuit.open and one.circuit.slow_start_since_us >= 0
+    assert not first_endpoint.circuit.open and first_endpoint.circuit.slow_start_since_us >= 0
 
 
 def test_slow_start_is_shared_by_the_endpoints_in_use():
     sent = []
-    for one_closed in (False, True):
+    for one_circuit_open in (False, True):
         driver = mid_size_fleet(endpoints=2, call_slots=8)
         driver.run_tick(
             LoadReportReceived(100, (0.9, 40.0 * 4))
@@ -103,7 +103,7 @@
                 driver.now,
                 0.0,
             )
-        if one_closed:  # nothing goes there: it cannot use its share of the slow start
+        if one_circuit_open:  # nothing goes there: it cannot use its share of the slow start
             circuit.open, circuit.slow_start_since_us, circuit.half_open_at_us = (
                 True,
                 -1,
@@ -127,8 +127,8 @@
     circuit = driver.policy.state.endpoints[100].circuit
     circuit.slow_start_since_us, circuit.target_rate_per_s = driver.now, 10.0
     # Seconds until the full rate, of a slow start of 10 s.
-    full = (1 / (0.8 * driver.policy.state.settings.overload_factor) - 0.1) / 0.9 * 10
-    driver.submit(after=int((full - 0.5) * SECOND))
+    full_rate_after_s = (1 / (0.8 * driver.policy.state.settings.overload_factor) - 0.1) / 0.9 * 10
+    driver.submit(after=int((full_rate_after_s - 0.5) * SECOND))
     driver.end_attempt(driver.last_message, AttemptResult.OK, after=1)
     assert circuit.slow_start_since_us >= 0
     driver.submit(after=SECOND)
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -23,7 +23,7 @@
 def test_timeouts_are_shorter_where_many_calls_are_lost():
     driver = PolicyDriver(call_slots=40)
     warm_up(driver, 40)
-    calm = driver.policy.state.statistics.lost_call_rate
+    initial_lost_call_rate = driver.policy.state.statistics.lost_call_rate
     for _ in range(10):
         sends = actions_of(SendAttempt, driver.submit(after=300_000) + driver.submit())
         for action in sends[1:]:
@@ -31,10 +31,10 @@
         driver.end_attempt(sends[0].message, AttemptResult.TIMEOUT)
     group = driver.policy.state.endpoints[100].group
     group.latency_mean_us, group.latency_deviation_us = 100_000.0, 75_000.0
-    lossy = answer_timeout_us(driver.policy.state, group)
-    assert driver.policy.state.statistics.lost_call_rate > 10 * calm
-    driver.policy.state.statistics.lost_call_rate = calm
-    assert lossy < 0.7 * answer_timeout_us(driver.policy.state, group)
+    timeout_with_losses_us = answer_timeout_us(driver.policy.state, group)
+    assert driver.policy.state.statistics.lost_call_rate > 10 * initial_lost_call_rate
+    driver.policy.state.statistics.lost_call_rate = initial_lost_call_rate
+    assert timeout_with_losses_us < 0.7 * answer_timeout_us(driver.policy.state, group)
 
 
 def test_non_idempotent_call_may_take_its_latency_objective_unless_slots_are_short():
@@ -46,9 +46,9 @@
         for destination, endpoint in ((1, 100), (2, 200)):
             driver.submit(message_class=2, destination=destination)
             driver.end_attempt(driver.last_message, AttemptResult.OK, endpoint=endpoint)
-    waits = [
+    timeouts_us = [
         action.timeout_us
         for destination in (1, 1, 1, 2)
         for action in actions_of(SendAttempt, driver.submit(message_class=2, destination=destination))
     ]
-    assert len(waits) == 4 and waits[:3] == [SECOND] * 3 and waits[3] < SECOND // 2
+    assert len(timeouts_us) == 4 and timeouts_us[:3] == [SECOND] * 3 and timeouts_us[3] < SECOND // 2
