--- a/tests/test_delivery_policy.py
+++ b/tests/test_delivery_policy.py
@@ -1,4 +1,4 @@
-"""The delivery policy's decisions on single messages, its concurrency window and its slots."""
+"""Delivery policy: dispatch of single messages and batches, the concurrency window and the call slots."""
 
 import pytest
 from policy_driver import SECOND, PolicyDriver, actions_of, warm_up
@@ -54,7 +54,7 @@
         EndpointListReceived(EndpointListForm.DELTA, (EndpointEntry(200, 2, EndpointState.READY),))
     )
     warm_up(driver)
-    for _ in range(6):  # destination 2 takes ten times as long
+    for _ in range(6):  # calls to destination 2 take ten times as long
         driver.submit(destination=2, after=300_000)
         driver.end_attempt(
             driver.last_message, AttemptResult.OK, latency=1_000_000, after=1_000_000, endpoint=200
@@ -79,10 +79,10 @@
     for message_class in (0, 0):
         driver.submit(message_class)
     sends = actions_of(SendAttempt, driver.end_attempt(1, AttemptResult.OK))
-    assert [action.message for action in sends] == [2, 3]  # one call; the window is two wide
+    assert [action.message for action in sends] == [2, 3]  # one call: the window allows two
     driver.run_tick(AttemptEnded(2, 0, 100, result, 100_000, message_ended=True), after=100_000)
     driver.end_attempt(3, AttemptResult.OK, after=0)
-    # The window is three wide after its success.
+    # The window allows three calls after the success.
     assert sum(len(actions_of(SendAttempt, driver.submit())) for _ in range(4)) >= 3
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""Large fleets: what hundreds of small instances do alike must sum to what a destination bears."""
+"""Large fleets: the calls of hundreds of small instances must not add up to an overload of a destination."""
 
 import pytest
 from policy_driver import CLASSES, SECOND, PolicyDriver, actions_of, endpoint_entry, large_fleet
@@ -27,7 +27,7 @@
     assert not actions_of(CloseIdleConnections, driver.end_attempt(1, AttemptResult.OK))
     assert not actions_of(CloseIdleConnections, driver.submit(after=4 * SECOND))
     ((call, _),) = driver.policy.state.calls.values()
-    # A new connection costs the handshake again, and occupies one of few slots meanwhile.
+    # A new connection would cost another handshake, and occupy one of few slots during it.
     assert call.connection_idle_us == 4 * SECOND
 
 
@@ -50,7 +50,7 @@
             circuit.failure_rate,
             driver.policy.state.endpoints[100].ambiguous_failure_rate,
         ) = False, -1, None, 0.0, 0.0
-        # Otherwise a non-idempotent message would not be sent on an idle connection.
+        # With a high reset rate, a non-idempotent message would require a new connection.
         driver.policy.state.statistics.reset_rates = ConnectionRates()
         actions = driver.submit(message_class=2)  # non-idempotent: one attempt
         driver.end_attempt(driver.last_message, result)
@@ -61,7 +61,7 @@
     assert (
         not send_call(4 * SECOND, AttemptResult.RESET)
         and driver.policy.state.statistics.idle_reuse_limit_us == 10 * SECOND
-    )  # one lost call may be chance
+    )  # a single lost call may be random
     assert (
         not send_call(4 * SECOND, AttemptResult.RESET)
         and driver.policy.state.statistics.idle_reuse_limit_us < 4 * SECOND
@@ -75,7 +75,7 @@
 
 
 def test_advertised_rate_limits_a_large_fleet_only_after_a_rejection():
-    driver = large_fleet(rate=10.0)  # a part of 0.1 a second
+    driver = large_fleet(rate=10.0)  # a share of 0.1 a second
     for _ in range(5):
         assert actions_of(SendAttempt, driver.submit(after=100_000))
         driver.end_attempt(driver.last_message, AttemptResult.OK)
@@ -115,7 +115,7 @@
     calls, sent, now, message = [], [], 1000 * SECOND, 0
     for policy in policies:
         policy.handle(now, [endpoint_list])
-    for step in range(4000):  # 40 s, 40 messages a second, each to the next instance by a fixed shuffle
+    for step in range(4000):  # 40 s, 40 messages a second, spread over the instances in a fixed order
         now += 10_000
         inbox = {}
         if step % 2 == 0 and step % 5:
@@ -162,7 +162,7 @@
         driver = large_fleet(rate=10.0)
         driver.policy.state.random.seed(seed)
         driver.submit()
-        # So long a Retry-After comes from a destination that is closed.
+        # A Retry-After of this length means that the destination was shut down.
         driver.end_attempt(1, AttemptResult.REJECTED, retry_after=8 * SECOND)
         actions = []
         for _ in range(8):
@@ -170,7 +170,7 @@
         assert not actions_of(SendAttempt, actions)
         sent_after_wait += len(
             actions_of(SendAttempt, driver.advance(2))
-        )  # the waits of all instances end together
+        )  # the Retry-After ends for all instances at once
     assert not sent_after_wait
 
 
@@ -204,7 +204,7 @@
 
 
 def test_where_calls_are_rejected_a_share_of_new_messages_is_rejected_unsent():
-    driver = large_fleet()  # no rate is listed
+    driver = large_fleet()  # no rate is advertised
     for _ in range(6):
         for action in actions_of(SendAttempt, driver.submit(after=3 * SECOND)):
             driver.end_attempt(action.message, AttemptResult.REJECTED)
@@ -222,7 +222,7 @@
 
 
 def test_message_that_cannot_be_sent_in_time_is_rejected_at_once():
-    driver = large_fleet(rate=5.0)  # a part of 0.05 a second: the next call in up to 20 s
+    driver = large_fleet(rate=5.0)  # a share of 0.05 a second: up to 20 s until the next call
     driver.submit()
     driver.end_attempt(driver.last_message, AttemptResult.REJECTED)
     rejected = sum(
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -1,4 +1,4 @@
-"""What the limits in load reports do to the rate."""
+"""Effect of the limits in load reports on the rate limit; invalid values are ignored."""
 
 import pytest
 from policy_driver import PolicyDriver, actions_of, mid_size_fleet
@@ -35,10 +35,10 @@
 @pytest.mark.parametrize("instance_count", [1, 3, 40])
 def test_exhausted_limit_cuts_each_instance_to_its_share(instance_count):
     driver = PolicyDriver(instance_count=instance_count, call_slots=4, load_report_fields=("x0", "x1"))
-    report_load(driver, 0.6, 40.0).rate_limit_per_s = 40.0  # it used what the others left
+    report_load(driver, 0.6, 40.0).rate_limit_per_s = 40.0  # it used shares of other instances
     assert report_load(driver, 0.3, 40.0).rate_limit_per_s == 40.0
     assert report_load(driver, 0.05, 40.0).rate_limit_per_s == 40.0 / instance_count
-    # It was cut by an earlier rejection: it is not raised.
+    # A rate that an earlier rejection has cut is not raised.
     report_load(driver, 0.05, 40.0).rate_limit_per_s = 0.5 * 40 / instance_count
     assert report_load(driver, 0.0, 40.0).rate_limit_per_s == 0.5 * 40 / instance_count
 
@@ -90,4 +90,4 @@
         1.5 * factor
     )
     sends = sum(len(actions_of(SendAttempt, driver.submit(after=1000))) for _ in range(200))
-    assert sends <= 4  # no burst beyond its slots either way
+    assert sends <= 4  # no burst beyond the call slots, for either factor
--- a/tests/test_mid_size_fleet.py
+++ b/tests/test_mid_size_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of some tens of instances."""
+"""Fleets of some tens of instances: circuits, choice of endpoints, and calls after a common start."""
 
 from policy_driver import CLASSES, SECOND, actions_of, endpoint_entry, mid_size_fleet
 
@@ -17,7 +17,7 @@
 
 def test_failing_endpoint_opens_no_other_circuit_at_forty_instances():
     driver = mid_size_fleet(endpoints=2)
-    for _ in range(6):  # each is retried elsewhere until the dead endpoint is known as such
+    for _ in range(6):  # each message is retried elsewhere until the failures are detected
         for action in actions_of(SendAttempt, driver.submit(after=SECOND)):
             driver.end_attempt(
                 action.message,
@@ -74,7 +74,7 @@
         driver.end_attempt(action.message, AttemptResult.OK, endpoint=action.endpoint)
     assert (
         len(used_endpoints) == 1
-    )  # one more would cost a handshake, and a place in its table of connections
+    )  # another endpoint would cost a handshake and one of the connections that it accepts
 
 
 def test_instances_that_start_together_send_one_call_each_and_then_their_share():
@@ -94,7 +94,7 @@
         for instance in range(instance_count)
     ]
     in_flight = {}
-    for instance, policy in enumerate(policies):  # restored, or submitted while all were starting
+    for instance, policy in enumerate(policies):  # restored messages, or ones submitted during the start
         events = [EndpointListReceived(EndpointListForm.CACHED, (endpoint_entry(100),))]
         events += [MessageSubmitted(n, 0, 1, now + 10 * SECOND) for n in range(1, 7)]
         in_flight[instance] = actions_of(SendAttempt, policy.handle(now, events))
@@ -117,5 +117,6 @@
                     ),
                 ]
             in_flight.setdefault(instance, []).extend(actions_of(SendAttempt, policy.handle(now, events)))
-    assert instance_count <= counts[0] <= 1.2 * instance_count  # otherwise each would send its part on top
+    # Each instance sends one call at first, without its share of the limit on top of it.
+    assert instance_count <= counts[0] <= 1.2 * instance_count
     assert counts[1] >= 0.7 * limit
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal events for random settings: the rules hold on the actions, whatever the outcomes are."""
+"""Property test: the actions of the policy keep the delivery rules for random settings and legal events."""
 
 import random
 
@@ -157,7 +157,7 @@
             if isinstance(action, SetTimer):
                 timers.append(now + action.delay_us)
             elif isinstance(action, SendAttempt):
-                assert action.message in open_messages, "sent after its end"
+                assert action.message in open_messages, "sent after its final answer"
                 message = open_messages[action.message]
                 message_class = settings.classes[message.message_class]
                 assert (
@@ -200,7 +200,7 @@
                 calls[action.endpoint] = calls.get(action.endpoint, 0) + 1
             elif isinstance(action, (RejectMessage, FailMessage)):
                 if MessageWithdrawn(action.message) in inbox:
-                    continue  # its end was reported in this very tick
+                    continue  # the withdrawal is an event of this tick
                 message = open_messages.pop(action.message)
                 ended[action.message] = message
                 assert now <= message.deadline_us + settings.answer_slack_us
@@ -227,4 +227,4 @@
         assert all(
             now <= message.deadline_us + settings.answer_slack_us for message in open_messages.values()
         ), "no final answer"
-    assert last_message > 20  # the run was not empty
+    assert last_message > 20  # enough messages were submitted
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -1,4 +1,4 @@
-"""Retry-After, the rate limit and its token bucket."""
+"""Retry-After, the rate limit and its token bucket, and limits from load reports."""
 
 from policy_driver import SECOND, PolicyDriver, actions_of, serve, warm_up
 
@@ -73,7 +73,7 @@
     driver.submit()
     driver.end_attempt(1, AttemptResult.OK)
     driver.submit()
-    # From here on the destination's rate is limited to a call in two seconds.
+    # From here on the rate limit is one call in two seconds.
     driver.end_attempt(2, AttemptResult.REJECTED, retry_after=SECOND)
     driver.advance(4)
     for n in range(3, 7):
@@ -85,7 +85,7 @@
 
 
 def sends_in_a_second(driver, limit):
-    """How many of twelve more messages are sent within a second after a load report with the limit."""
+    """Report the limit, submit twelve messages, and return the number of calls sent within a second."""
     actions, sent = driver.run_tick(LoadReportReceived(100, (0.5, limit)), after=SECOND), 0
     for _ in range(12):
         actions += driver.submit()
@@ -103,5 +103,5 @@
     driver = PolicyDriver(instance_count=2, load_report_fields=("x0", "x1"))
     assert sends_in_a_second(driver, 100.0) == 12
     sent_at_low_limit = sends_in_a_second(driver, 4.0)
-    assert sent_at_low_limit < 9  # this instance's part is two a second, and success had doubled its rate
-    assert sends_in_a_second(driver, 100.0) == 12 + 12 - sent_at_low_limit  # and at once when it is back
+    assert sent_at_low_limit < 9  # this instance's share is 2 a second, doubled by earlier successes
+    assert sends_in_a_second(driver, 100.0) == 12 + 12 - sent_at_low_limit  # a raised limit applies at once
--- a/tests/test_recovery_budget.py
+++ b/tests/test_recovery_budget.py
@@ -1,4 +1,8 @@
-"""What a fleet of any size sends to a destination that recovers, against what the settings allow."""
+"""Recovery budget: calls of a simulated fleet to a recovering destination.
+
+They must not exceed the load that the settings allow: more would take the destination down again. Minimum
+rates, half-open attempts or first calls of many instances could add up to that.
+"""
 
 import heapq
 import math
@@ -22,7 +26,7 @@
 )
 from message_relay.policy.delivery_policy import DeliveryPolicy
 
-OUTAGE_START_S = 6.0  # seconds
+OUTAGE_START_S = 6.0
 OUTAGE_END_S = 11.0
 END_S = 26.0
 SLOW_START_SHARE = 0.2
@@ -31,14 +35,14 @@
 OVERLOAD_WINDOW_S = 3.0
 LOAD_SHARE = 0.7  # of the limit
 RATE_SOURCES = {
-    "silent": {},
+    "unknown": {},
     "listed": {"rate_limits_advertised": True},
     "reported": {"load_report_fields": ("x0", "x1")},
 }
 
 
 class RecoveringFleet:
-    """Counts what each instance sends to one destination with two endpoints, which is down for a while."""
+    """Simulation of a fleet that sends to one destination with two endpoints, with an outage in between."""
 
     def __init__(self, instance_count, limit, failure, rate_source, seed):
         self.limit, self.failure, self.rate_source = limit, failure, rate_source
@@ -75,7 +79,8 @@
         heapq.heappush(self.queue, (at_s, self.event_count, instance, event))
 
     def schedule_messages(self):
-        weights = [self.random.lognormvariate(0, 0.6) for _ in self.policies]  # some see much more
+        # Some instances get many times the messages of others.
+        weights = [self.random.lognormvariate(0, 0.6) for _ in self.policies]
         at_s = 0.0
         while (at_s := at_s + self.random.expovariate(self.limit * LOAD_SHARE)) < END_S:
             instance = self.random.choices(range(len(weights)), weights)[0]
@@ -105,7 +110,7 @@
                 "refused": (0.02, AttemptResult.CONNECT_FAILED, 0),
                 "hangs": (action.timeout_us / SECOND, AttemptResult.TIMEOUT, 0),
                 "errors": (0.05, AttemptResult.ERROR, 0),
-                "shut": (0.02, AttemptResult.REJECTED, int((OUTAGE_END_S - at_s) * SECOND)),
+                "shut_down": (0.02, AttemptResult.REJECTED, int((OUTAGE_END_S - at_s) * SECOND)),
             }[self.failure]
         elif (
             sum(served > at_s - 1 for served in self.served_at[-int(1.2 * self.limit) - 1 :])
@@ -127,7 +132,10 @@
         self.schedule(at_s + latency_s, instance, outcome)
 
     def budget_used(self):
-        """The most that informed instances sent in a window after the outage, as a share of the budget."""
+        """Return the largest share of the budget that was used in an overload window after the outage.
+
+        Only calls of instances that had seen a failure count.
+        """
         sent = [at_s for at_s, had_failure in self.sent_at if had_failure and at_s >= OUTAGE_END_S]
         maximum_share = 0.0
         for n, at_s in enumerate(sent):
@@ -145,7 +153,7 @@
 
 
 @pytest.mark.parametrize("rate_source", RATE_SOURCES)
-@pytest.mark.parametrize("failure", ["refused", "hangs", "errors", "shut"])
+@pytest.mark.parametrize("failure", ["refused", "hangs", "errors", "shut_down"])
 @pytest.mark.parametrize(
     "instance_count, limit", [(20, 12.0), (20, 60.0), (30, 12.0), (30, 40.0), (200, 30.0), (230, 12.0)]
 )
@@ -157,4 +165,4 @@
         assert fleet.budget_used() <= 1.0
         late_sent = [at_s for at_s, _ in fleet.sent_at if at_s > END_S - 5]
         late_offered = [at_s for at_s in fleet.offered_at if at_s > END_S - 5]
-        assert len(late_sent) >= 0.6 * len(late_offered)  # and the slow start ends at the full rate
+        assert len(late_sent) >= 0.6 * len(late_offered)  # the slow start reaches the full rate
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""Which messages are attempted again, and when they get a final answer."""
+"""Retries: which messages are attempted again, and when they get a final answer."""
 
 from policy_driver import CLASSES, SECOND, PolicyDriver, actions_of, warm_up
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Where slots are short: which calls get them, and what makes a call hold its slot for longer."""
+"""Scarce call slots: which messages get them, and the lost calls that occupy them for long."""
 
 from policy_driver import CLASSES, SECOND, PolicyDriver, actions_of
 
@@ -17,7 +17,7 @@
 
 
 def send_calls_with_resets(driver, reused, calls_per_reset):
-    """Calls of which one in `calls_per_reset` is reset; the others are answered."""
+    """Send calls one after the other, of which one in ``calls_per_reset`` is reset and the others succeed."""
     endpoint = driver.policy.state.endpoints[100]
     for n in range(2 * calls_per_reset):
         endpoint.idle_since_us = [driver.now - SECOND // 10] if reused else []
@@ -68,7 +68,7 @@
 
 
 def send_call(driver, reused, result=AttemptResult.TIMEOUT):
-    """One call, on a connection that had been idle for a while or on a new one."""
+    """Send one call, on a connection that was idle or on a new one, and return its SendAttempt actions."""
     endpoint = driver.policy.state.endpoints[100]
     endpoint.idle_since_us = (
         [driver.now - (4 * SECOND if result is AttemptResult.TIMEOUT else SECOND // 10)] if reused else []
@@ -116,7 +116,11 @@
 
 
 def first_sent(batch_size, message_count):
-    """What a free slot goes to: an urgent message for 2, or messages for 1 in batches of `batch_size`."""
+    """Return the messages that get the only slot.
+
+    An urgent message for destination 2 competes with ``message_count`` messages for destination 1, which are
+    sent in batches of up to ``batch_size``.
+    """
     classes = (
         *CLASSES,
         MessageClass("urgent", latency_objective_us=SECOND, deadline_us=10 * SECOND, priority_weight=20.0),
@@ -162,7 +166,7 @@
             driver.submit(destination=destination)
             driver.end_attempt(driver.last_message, AttemptResult.OK, endpoint=100 * destination)
         driver.submit(message_class=2, destination=2)
-        # One lost call; others are answered.
+        # One lost call among successful ones.
         driver.end_attempt(driver.last_message, AttemptResult.TIMEOUT, latency=4 * SECOND, endpoint=200)
         occupying_message = driver.last_message + 1
         driver.submit(destination=3, after=int(pause_s * SECOND))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""The slow start after an outage."""
+"""Slow start after an outage: its rate, its end, and how the endpoints of a group share it."""
 
 import pytest
 from policy_driver import SECOND, PolicyDriver, actions_of, large_fleet, mid_size_fleet, serve
@@ -25,7 +25,7 @@
         serve(driver, 8, AttemptResult.OK),
         serve(driver, 4, AttemptResult.OK),
     )
-    # The budget is the overload factor times the slow-start share, which grows from 0.1 to 0.46 meanwhile.
+    # The budget is the overload factor times the capacity, which grows from 0.1 to 0.46 in these 4 s.
     assert 0 < first <= 2.5 * (0.1 + 0.46) / 2 * 8 * 4 + 1
     assert last > 1.3 * first
 
@@ -34,15 +34,15 @@
     driver = PolicyDriver(rate=8.0, slow_start_share=0.2, overload_factor=2.5)
     serve(driver, 5, AttemptResult.OK)
     sent = serve(driver, 10, AttemptResult.ERROR)
-    # More than half-open attempts with backoff would send, and within the budget of a slow start.
+    # More than half-open attempts alone, and within the budget of a slow start.
     assert 2 * 10 < sent <= 2.5 * 0.2 * 8 * 10 + 6
     assert not driver.policy.state.endpoints[100].circuit.open
 
 
 def sends_ended_with(driver, result, ticks):
-    """How many calls go in so many ticks of 25 ms with a message each; all end with that result."""
+    """Submit a message in each tick of 25 ms, end all calls with the result, and return their number."""
     actions, sent, message_ended = [], 0, result is AttemptResult.OK
-    while ticks > 0 or actions_of(SendAttempt, actions):  # also the calls of the last tick get their outcome
+    while ticks > 0 or actions_of(SendAttempt, actions):  # includes the outcomes of the last tick's calls
         sends = actions_of(SendAttempt, actions)
         sent += len(sends)
         ended = [
@@ -58,12 +58,12 @@
 
 def test_slow_start_uses_the_reported_limit_where_no_rate_was_measured():
     driver = PolicyDriver(instance_count=2, load_report_fields=("x0", "x1"), slow_start_share=0.3)
-    # Started in the middle of an outage: half-open attempts only.
+    # The instance starts during an outage: half-open attempts only.
     assert 3 < sends_ended_with(driver, AttemptResult.CONNECT_FAILED, 120) < 40
     sends_ended_with(driver, AttemptResult.OK, 120)
     driver.run_tick(LoadReportReceived(100, (1.0, 40.0)))
     assert driver.policy.state.endpoints[100].circuit.slow_start_since_us >= 0
-    # In two seconds, the slow-start share of twenty a second.
+    # In 2 s, the slow-start share of 20 calls a second.
     assert 10 < sends_ended_with(driver, AttemptResult.OK, 80) < 40
 
 
@@ -87,9 +87,8 @@
     sent = []
     for one_circuit_open in (False, True):
         driver = mid_size_fleet(endpoints=2, call_slots=8)
-        driver.run_tick(
-            LoadReportReceived(100, (0.9, 40.0 * 4))
-        )  # its part is 4 a second, limited no further
+        # The instance's share of the limit is 4 a second, and no lower limit applies.
+        driver.run_tick(LoadReportReceived(100, (0.9, 40.0 * 4)))
         for n in (100, 101):
             circuit = driver.policy.state.endpoints[n].circuit
             (
@@ -103,7 +102,7 @@
                 driver.now,
                 0.0,
             )
-        if one_circuit_open:  # nothing goes there: it cannot use its share of the slow start
+        if one_circuit_open:  # it gets no calls and cannot use its share of the slow start
             circuit.open, circuit.slow_start_since_us, circuit.half_open_at_us = (
                 True,
                 -1,
@@ -126,7 +125,7 @@
     driver = mid_size_fleet()
     circuit = driver.policy.state.endpoints[100].circuit
     circuit.slow_start_since_us, circuit.target_rate_per_s = driver.now, 10.0
-    # Seconds until the full rate, of a slow start of 10 s.
+    # Time in seconds until a slow start of 10 s reaches the full rate.
     full_rate_after_s = (1 / (0.8 * driver.policy.state.settings.overload_factor) - 0.1) / 0.9 * 10
     driver.submit(after=int((full_rate_after_s - 0.5) * SECOND))
     driver.end_attempt(driver.last_message, AttemptResult.OK, after=1)
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -1,4 +1,4 @@
-"""The time-outs of attempts."""
+"""Time-outs of attempts, by latency, lost calls, idempotency and free slots."""
 
 from policy_driver import CLASSES, SECOND, PolicyDriver, actions_of, warm_up
 
@@ -42,7 +42,7 @@
     driver.run_tick(
         EndpointListReceived(EndpointListForm.DELTA, (EndpointEntry(200, 2, EndpointState.READY),))
     )
-    for _ in range(8):  # both answer within 100 ms
+    for _ in range(8):  # both endpoints respond within 100 ms
         for destination, endpoint in ((1, 100), (2, 200)):
             driver.submit(message_class=2, destination=destination)
             driver.end_attempt(driver.last_message, AttemptResult.OK, endpoint=endpoint)
