--- a/message_relay/policy/admission.py
+++ b/message_relay/policy/admission.py
@@ -112,8 +112,8 @@
 def _shedding_rank(state: PolicyState, message: Message) -> tuple[bool, bool, float, int]:
     """Return a sort key; the message with the lowest one is shed first.
 
-    Messages that were never possibly applied go first, then those that were not restored, those of low weight
-    and the newest ones.
+    Messages that were possibly applied go last, before them the restored and unattempted ones. Among the
+    others the one of the lowest present weight goes first, and of equal ones the newest.
     """
     weight = selection.weight_at(state, message, state.now_us)
     return message.possibly_applied_at_us >= 0, message.restored_unattempted, weight, -message.sequence
--- a/message_relay/policy/eligibility.py
+++ b/message_relay/policy/eligibility.py
@@ -60,7 +60,7 @@
     """Return whether the message may be attempted at an endpoint that admits calls."""
     group, circuit = endpoint.group, endpoint.circuit
     remaining_us = min(message.deadline_us, state.shutdown_at_us) - state.now_us - state.deadline_margin_us
-    if state.shutdown_at_us < math.inf and remaining_us < timeouts.answer_timeout_us(state, group):
+    if state.shutdown_at_us < math.inf and remaining_us < timeouts.response_timeout_us(state, group):
         return False  # the shutdown could cut the call off
     if message.closed or message.in_flight or message.attempts >= state.max_attempts or remaining_us <= 0:
         return False
--- a/message_relay/policy/selection.py
+++ b/message_relay/policy/selection.py
@@ -100,18 +100,26 @@
     """
     groups = destination.groups
     rate = sum(group.rate_limit_per_s or group.success_rate_per_s or 1.0 for group in groups)
-    soon_us = state.now_us + max(group.latency_mean_us for group in groups)
+    delivered_now_us = state.now_us + max(group.latency_mean_us for group in groups)
     occupancy_us = max(timeouts.slot_occupancy_us(state, group) for group in groups)
     waiting = max(0, len(state.messages) - state.in_flight)
     slot_wait_us = state.statistics.slot_occupancy_us * waiting / state.settings.call_slots
-    late_us = soon_us + max(len(destination.queue) / rate * 1e6, SLOT_QUEUE_FACTOR * slot_wait_us)
-    return functools.partial(_weight_change, state, soon_us, late_us, occupancy_us)
+    delivered_later_us = delivered_now_us + max(
+        len(destination.queue) / rate * 1e6, SLOT_QUEUE_FACTOR * slot_wait_us
+    )
+    return functools.partial(_weight_change, state, delivered_now_us, delivered_later_us, occupancy_us)
 
 
 def _weight_change(
-    state: PolicyState, soon_us: float, late_us: float, occupancy_us: float, message: Message
+    state: PolicyState,
+    delivered_now_us: float,
+    delivered_later_us: float,
+    occupancy_us: float,
+    message: Message,
 ) -> float:
-    return (weight_at(state, message, late_us) - weight_at(state, message, soon_us)) / occupancy_us
+    return (
+        weight_at(state, message, delivered_later_us) - weight_at(state, message, delivered_now_us)
+    ) / occupancy_us
 
 
 def weight_at(state: PolicyState, message: Message, at_us: float) -> float:
@@ -166,5 +174,5 @@
         costs = state.settings.zone_costs
         cost = costs[endpoint.zone] if endpoint.zone < len(costs) else 0.0
     failures = int(endpoint.failure_rate * FAILURE_RATE_STEPS)
-    just_failed, calls = endpoint is message.last_endpoint, len(endpoint.in_flight)
-    return endpoint.circuit.open, just_failed, failures, not reusable, cost, calls, endpoint.tie_breaker
+    was_last_endpoint, calls = endpoint is message.last_endpoint, len(endpoint.in_flight)
+    return endpoint.circuit.open, was_last_endpoint, failures, not reusable, cost, calls, endpoint.tie_breaker
--- a/message_relay/policy/timeouts.py
+++ b/message_relay/policy/timeouts.py
@@ -1,8 +1,8 @@
 """Adaptive time-outs from the measured latency of each endpoint group.
 
 A call times out once it is very likely lost: the odds of a response against a loss are
-ANSWER_ODDS_AT_TIMEOUT. With a share p of calls lost, and a probability of late responses that falls by the
-factor e with each TAIL_DEVIATIONS deviations, that is ln(1 / (ANSWER_ODDS_AT_TIMEOUT * p)) times
+RESPONSE_ODDS_AT_TIMEOUT. With a share p of calls lost, and a probability of late responses that falls by the
+factor e with each TAIL_DEVIATIONS deviations, that is ln(1 / (RESPONSE_ODDS_AT_TIMEOUT * p)) times
 TAIL_DEVIATIONS deviations above the mean. Means and deviations are EWMAs for each group; the share of lost
 calls and the setup time of connections are estimated over all groups. The slot occupancy of calls is
 estimated here too.
@@ -14,7 +14,7 @@
 from message_relay.policy_state import Call, EndpointGroup, Message, PolicyState
 
 TAIL_DEVIATIONS = 1.35  # deviations in which the probability of a late response falls by the factor e
-ANSWER_ODDS_AT_TIMEOUT = 0.1  # odds of a response against a loss
+RESPONSE_ODDS_AT_TIMEOUT = 0.1  # odds of a response against a loss
 LOST_CALL_EWMA_WEIGHT = 1 / 32  # of the newest call in the share of lost calls
 DEFAULT_CONNECTION_SETUP_US = 500_000  # extra time of the first call on a connection, until it is measured
 HALF_OPEN_TIMEOUT_SHARE = 0.6  # of the ordinary time-out, for a half-open attempt
@@ -23,9 +23,9 @@
 INSTANCE_EWMA_SPAN = 32  # the same for the mean over all calls of the instance
 
 
-def answer_timeout_us(state: PolicyState, group: EndpointGroup) -> int:
+def response_timeout_us(state: PolicyState, group: EndpointGroup) -> int:
     """Return the time in microseconds within which a response arrives unless the call is very likely lost."""
-    tail = math.log(1 / (ANSWER_ODDS_AT_TIMEOUT * state.statistics.lost_call_rate))
+    tail = math.log(1 / (RESPONSE_ODDS_AT_TIMEOUT * state.statistics.lost_call_rate))
     late_us = group.latency_deviation_us * TAIL_DEVIATIONS * tail
     return int(group.latency_mean_us + max(group.latency_mean_us, late_us))
 
@@ -100,7 +100,7 @@
     if not group.latency_mean_us:
         timeout_us = _timeout_us(state, message, call, max(state.settings.connect_timeout_us, objective_us))
         return timeout_us, timeout_us
-    expected_us = answer_timeout_us(state, group)
+    expected_us = response_timeout_us(state, group)
     # The first call on a new connection includes its setup. Without time for that, every such call timed out,
     # its connection was closed, and the next call opened another one.
     with_setup_us = expected_us + connection_setup_allowance_us(state)
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -10,7 +10,7 @@
     EndpointState,
     SendAttempt,
 )
-from message_relay.policy.timeouts import answer_timeout_us
+from message_relay.policy.timeouts import response_timeout_us
 
 
 def test_non_idempotent_call_to_a_hung_endpoint_times_out_before_the_deadline():
@@ -31,10 +31,10 @@
         driver.end_attempt(sends[0].message, AttemptResult.TIMEOUT)
     group = driver.policy.state.endpoints[100].group
     group.latency_mean_us, group.latency_deviation_us = 100_000.0, 75_000.0
-    timeout_with_losses_us = answer_timeout_us(driver.policy.state, group)
+    timeout_with_losses_us = response_timeout_us(driver.policy.state, group)
     assert driver.policy.state.statistics.lost_call_rate > 10 * initial_lost_call_rate
     driver.policy.state.statistics.lost_call_rate = initial_lost_call_rate
-    assert timeout_with_losses_us < 0.7 * answer_timeout_us(driver.policy.state, group)
+    assert timeout_with_losses_us < 0.7 * response_timeout_us(driver.policy.state, group)
 
 
 def test_non_idempotent_call_may_take_its_latency_objective_unless_slots_are_short():
