--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""Large fleets: what hundreds of small instances do alike must sum to what a destination bears."""
+"""Large fleets: the calls of hundreds of small instances must not add up to an overload of a destination."""
 
 import pytest
 from policy_driver import CLASSES, SECOND, PolicyDriver, actions_of, endpoint_entry, large_fleet
@@ -27,7 +27,7 @@
     assert not actions_of(CloseIdleConnections, driver.end_attempt(1, AttemptResult.OK))
     assert not actions_of(CloseIdleConnections, driver.submit(after=4 * SECOND))
     ((call, _),) = driver.policy.state.calls.values()
-    # A new connection costs the handshake again, and occupies one of few slots meanwhile.
+    # A new connection would cost another handshake, and occupy one of few slots during it.
     assert call.connection_idle_us == 4 * SECOND
 
 
@@ -40,8 +40,8 @@
 def test_stale_idle_connections_are_closed_before_use_after_two_lost_calls():
     driver = PolicyDriver()
 
-    def call(idle, result):
-        driver.policy.state.endpoints[100].idle_since_us = [driver.now - idle]
+    def send_call(idle_us, result):
+        driver.policy.state.endpoints[100].idle_since_us = [driver.now - idle_us]
         circuit = driver.policy.state.endpoints[100].circuit
         (
             circuit.open,
@@ -50,32 +50,32 @@
             circuit.failure_rate,
             driver.policy.state.endpoints[100].ambiguous_failure_rate,
         ) = False, -1, None, 0.0, 0.0
-        # Otherwise a non-idempotent message would not be sent on an idle connection.
+        # With a high reset rate, a non-idempotent message would require a new connection.
         driver.policy.state.statistics.reset_rates = ConnectionRates()
         actions = driver.submit(message_class=2)  # non-idempotent: one attempt
         driver.end_attempt(driver.last_message, result)
         driver.advance(1)
         return len(actions_of(CloseIdleConnections, actions))
 
-    assert not call(6 * SECOND, AttemptResult.OK)
+    assert not send_call(6 * SECOND, AttemptResult.OK)
     assert (
-        not call(4 * SECOND, AttemptResult.RESET)
+        not send_call(4 * SECOND, AttemptResult.RESET)
         and driver.policy.state.statistics.idle_reuse_limit_us == 10 * SECOND
-    )  # one lost call may be chance
+    )  # a single lost call may be random
     assert (
-        not call(4 * SECOND, AttemptResult.RESET)
+        not send_call(4 * SECOND, AttemptResult.RESET)
         and driver.policy.state.statistics.idle_reuse_limit_us < 4 * SECOND
     )
-    trusted = driver.policy.state.statistics.idle_reuse_limit_us
-    assert call(4 * SECOND, AttemptResult.OK) == 1
+    reuse_limit_us = driver.policy.state.statistics.idle_reuse_limit_us
+    assert send_call(4 * SECOND, AttemptResult.OK) == 1
     assert (
-        not call(trusted // 2, AttemptResult.OK)
-        and driver.policy.state.statistics.idle_reuse_limit_us > trusted
+        not send_call(reuse_limit_us // 2, AttemptResult.OK)
+        and driver.policy.state.statistics.idle_reuse_limit_us > reuse_limit_us
     )
 
 
 def test_advertised_rate_limits_a_large_fleet_only_after_a_rejection():
-    driver = large_fleet(rate=10.0)  # a part of 0.1 a second
+    driver = large_fleet(rate=10.0)  # a share of 0.1 a second
     for _ in range(5):
         assert actions_of(SendAttempt, driver.submit(after=100_000))
         driver.end_attempt(driver.last_message, AttemptResult.OK)
@@ -115,7 +115,7 @@
     calls, sent, now, message = [], [], 1000 * SECOND, 0
     for policy in policies:
         policy.handle(now, [endpoint_list])
-    for step in range(4000):  # 40 s, 40 messages a second, each to the next instance by a fixed shuffle
+    for step in range(4000):  # 40 s, 40 messages a second, spread over the instances in a fixed order
         now += 10_000
         inbox = {}
         if step % 2 == 0 and step % 5:
@@ -129,16 +129,18 @@
                 if isinstance(action, SendAttempt):
                     sent.append((now, policies[instance].state.endpoints[100].circuit.failure_rate > 0))
                     attempt = policies[instance].state.messages[action.message].attempts - 1
-                    calls.append(((now + 50_000, instance), ended(action.message, attempt, result)))
-    informed = sum(1 for at, seen in sent if seen and at > 1000 * SECOND + 20 * SECOND) / 20
-    assert 0 < informed <= overload_factor * slow_start_share * rate
+                    calls.append(((now + 50_000, instance), attempt_ended(action.message, attempt, result)))
+    calls_per_s_after_failure = (
+        sum(1 for at, after_failure in sent if after_failure and at > 1000 * SECOND + 20 * SECOND) / 20
+    )
+    assert 0 < calls_per_s_after_failure <= overload_factor * slow_start_share * rate
 
 
-def ended(message, attempt, result):
+def attempt_ended(message, attempt, result):
     return AttemptEnded(message, attempt, 100, result, 50_000, False, 0)
 
 
-def test_single_quick_failure_is_retried_and_forgiven():
+def test_single_fast_failure_is_retried_and_causes_no_slow_start():
     driver = large_fleet(rate=10.0)
     driver.submit()
     actions = driver.end_attempt(1, AttemptResult.CONNECT_FAILED, latency=20_000)
@@ -155,23 +157,25 @@
 
 
 def test_tokens_do_not_accrue_during_retry_after():
-    starts = 0
+    sent_after_wait = 0
     for seed in range(40):
         driver = large_fleet(rate=10.0)
         driver.policy.state.random.seed(seed)
         driver.submit()
-        # So long a Retry-After comes from a destination that is closed.
+        # A Retry-After of this length means that the destination was shut down.
         driver.end_attempt(1, AttemptResult.REJECTED, retry_after=8 * SECOND)
         actions = []
         for _ in range(8):
             actions += driver.submit(after=SECOND * 95 // 100)
         assert not actions_of(SendAttempt, actions)
-        starts += len(actions_of(SendAttempt, driver.advance(2)))  # the waits of all instances end together
-    assert not starts
+        sent_after_wait += len(
+            actions_of(SendAttempt, driver.advance(2))
+        )  # the Retry-After ends for all instances at once
+    assert not sent_after_wait
 
 
 def test_instances_spread_over_endpoints_in_proportion_to_their_rates():
-    chosen = {}
+    calls_by_endpoint = {}
     for seed in range(200):
         policy = DeliveryPolicy(
             Settings(
@@ -195,22 +199,22 @@
             ],
         )
         endpoint = actions_of(SendAttempt, actions)[0].endpoint
-        chosen[endpoint] = chosen.get(endpoint, 0) + 1
-    assert 130 < chosen[100] < 170
+        calls_by_endpoint[endpoint] = calls_by_endpoint.get(endpoint, 0) + 1
+    assert 130 < calls_by_endpoint[100] < 170
 
 
 def test_where_calls_are_rejected_a_share_of_new_messages_is_rejected_unsent():
-    driver = large_fleet()  # no rate is listed
+    driver = large_fleet()  # no rate is advertised
     for _ in range(6):
         for action in actions_of(SendAttempt, driver.submit(after=3 * SECOND)):
             driver.end_attempt(action.message, AttemptResult.REJECTED)
-    unsent = 0
+    rejected_unsent = 0
     for _ in range(30):
         actions = driver.submit(after=SECOND)
-        unsent += len(actions_of(RejectMessage, actions))
+        rejected_unsent += len(actions_of(RejectMessage, actions))
         for action in actions_of(SendAttempt, actions):
             driver.end_attempt(action.message, AttemptResult.REJECTED)
-    assert 15 < unsent < 30
+    assert 15 < rejected_unsent < 30
     for _ in range(60):
         for action in actions_of(SendAttempt, driver.submit(after=SECOND) + driver.advance(0.2)):
             driver.end_attempt(action.message, AttemptResult.OK)
@@ -218,7 +222,7 @@
 
 
 def test_message_that_cannot_be_sent_in_time_is_rejected_at_once():
-    driver = large_fleet(rate=5.0)  # a part of 0.05 a second: the next call in up to 20 s
+    driver = large_fleet(rate=5.0)  # a share of 0.05 a second: up to 20 s until the next call
     driver.submit()
     driver.end_attempt(driver.last_message, AttemptResult.REJECTED)
     rejected = sum(
@@ -227,7 +231,7 @@
     assert rejected >= 4
 
 
-def test_longest_waiting_messages_of_one_destination_are_rejected_to_make_room():
+def test_longest_queue_is_shed_near_the_capacity():
     driver = PolicyDriver(max_open_messages=10)
     driver.run_tick(
         EndpointListReceived(
