--- a/message_relay/server/http/__init__.py
+++ b/message_relay/server/http/__init__.py
@@ -1,1 +1,1 @@
-"""An HTTP/1.1 client connection on a non-blocking socket."""
+"""HTTP/1.1 client connections on non-blocking sockets."""
--- a/message_relay/server/http/connection.py
+++ b/message_relay/server/http/connection.py
@@ -1,9 +1,9 @@
 """One HTTP/1.1 client connection on a non-blocking socket.
 
-The caller must know whether a request's last byte was written: before that, the request has provably not
-been executed. asyncio's transports hide this (a failed write looks like a complete one), so the socket is
-driven here. No request is ever repeated by the connection itself, and a connection on which anything
-unexpected arrived is never used again.
+The connection reports whether the last byte of a request was written: until then, the server cannot have
+executed the request. asyncio's transports hide this (a failed write looks like a complete one), so this
+module reads and writes the socket itself. The connection never sends a request twice. It closes itself on
+unexpected bytes, so that it is not reused after them.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from message_relay.server.http.response_parser import ResponseParser
 
 Headers = Sequence[tuple[str, str]]
-# Errors of this host that say nothing about the other side: nothing was sent to it.
+# Errors of this host: nothing was sent, and they are no evidence of a fault of the server.
 LOCAL_RESOURCE_ERRORS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 )
@@ -27,13 +27,14 @@
 
 
 def _ignore_close() -> None:
-    """Do nothing: nobody is interested in the end of the connection."""
+    """Do nothing when the connection is closed; the default of `on_close`."""
 
 
 class HttpConnection:
-    """A client connection that carries one request at a time.
+    """Client connection that carries one request at a time.
 
-    The constructor raises `OSError` if no socket can be made, see `LOCAL_RESOURCE_ERRORS`.
+    `on_close` is called once, when the connection is closed by either side. The constructor raises `OSError`
+    if no socket can be created, see `LOCAL_RESOURCE_ERRORS`.
     """
 
     __slots__ = ("_bytes_sent", "_request", "_response", "address", "closed", "loop", "on_close", "sock")
@@ -43,7 +44,7 @@
         self.address = address
         self.closed = False
         self.on_close: Callable[[], None] = _ignore_close
-        self._response: ResponseParser | None = None  # the one awaited
+        self._response: ResponseParser | None = None  # to the request in flight
         self._request = b""
         self._bytes_sent = 0
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
@@ -52,19 +53,18 @@
 
     @property
     def handler(self) -> ResponseHandler | None:
-        """The handler of the request in flight, None if there is none."""
+        """Handler of the request in flight, None if there is none."""
         return self._response.handler if self._response else None
 
     @property
     def request_written(self) -> bool:
-        """Whether the last byte of the latest request was written."""
+        """Whether the last byte of the latest request was written to the socket."""
         return self._bytes_sent == len(self._request)
 
     def connect(self, done: Callable[[OSError | None], None]) -> None:
-        """Start to connect; `done` is called once, from the loop, with the error or None.
+        """Start to connect; call `done` once, from the event loop, with the error or None for success.
 
-        It is not called if the connection is closed first. Raises `OSError` for an address that cannot be
-        used.
+        `done` is not called if the connection is closed first. Raises `OSError` if the address is invalid.
         """
         code = self.sock.connect_ex(self.address)
         if code not in (0, errno.EINPROGRESS):
@@ -88,7 +88,7 @@
         done(None)
 
     def is_stale(self) -> bool:
-        """Whether this idle connection was ended by the other side or has unread bytes."""
+        """Return whether this idle connection was closed by either side or has unread bytes."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -100,9 +100,10 @@
     def send_request(
         self, method: str, target: str, headers: Headers, body: bytes, handler: ResponseHandler
     ) -> None:
-        """Send a request; `handler` receives what becomes of it.
+        """Send a request; `handler` receives its progress and the response.
 
-        Header values that come from clients were checked to be printable when they were accepted.
+        Header values are not escaped: those that originate from clients were verified to be printable when
+        the message was accepted.
         """
         self._response = ResponseParser(handler)
         host, port = self.address
@@ -120,7 +121,7 @@
         except BlockingIOError:
             pass
         except OSError:
-            self._lose()
+            self._close_as_lost()
             return
         if not self.request_written:
             self.loop.add_writer(self.sock, self._write)
@@ -137,7 +138,7 @@
         except OSError:
             data = b""
         response = self._response
-        if response is None:  # the connection's end, or bytes that nobody asked for
+        if response is None:  # end of the stream, or bytes without a request in flight
             self.close()
             return
         if data:
@@ -149,24 +150,24 @@
 
     def _process(self, response: ResponseParser, data: bytes) -> None:
         if not response.feed(data):
-            self._reject_malformed()
+            self._close_as_malformed()
         elif response.complete and not self.closed:
-            self._complete(response)
+            self._finish_response(response)
 
     def _process_end_of_stream(self, response: ResponseParser) -> None:
-        # With neither a length nor chunks, the end of the connection is the end of the response.
+        # A response with neither a length nor chunked encoding ends with the connection.
         if response.headers_complete and not response.delimited:
-            self._complete(response)
+            self._finish_response(response)
         else:
-            self._lose()
+            self._close_as_lost()
 
-    def _complete(self, response: ResponseParser) -> None:
+    def _finish_response(self, response: ResponseParser) -> None:
         self._response = None
         if not self.request_written or not response.keep_alive or response.trailing_bytes:
             self.close()
         response.handler.response_complete(response.trailing_bytes and not response.trailing_response)
 
-    def _reject_malformed(self) -> None:
+    def _close_as_malformed(self) -> None:
         handler, request_written = self.handler, self.request_written
         self.close()
         if handler is None:
@@ -176,14 +177,17 @@
         else:
             handler.connection_lost(False)
 
-    def _lose(self) -> None:
+    def _close_as_lost(self) -> None:
         handler, request_written = self.handler, self.request_written
         self.close()
         if handler is not None:
             handler.connection_lost(request_written)
 
     def close(self) -> None:
-        """Close the connection; the handler of a request in flight is not called any more."""
+        """Close the connection.
+
+        The handler of a request in flight is not called afterwards, except for bytes that are being parsed.
+        """
         if self.closed:
             return
         self.closed = True
--- a/message_relay/server/http/response_handler.py
+++ b/message_relay/server/http/response_handler.py
@@ -1,46 +1,48 @@
-"""The callbacks through which a request's sender learns what became of it."""
+"""Callbacks for the progress of a request and its response."""
 
 from __future__ import annotations
 
 
 class ResponseHandler:
-    """Receives the progress of one request and its response; the methods here ignore everything.
+    """Base class of the receivers of one request's progress and response; its methods do nothing.
 
-    Every method is called synchronously from the event loop callback that read or wrote the socket.
+    Each method is called synchronously, in the event loop callback that read or wrote the socket. Of
+    `response_complete`, `connection_lost` and `response_malformed`, one is called at most, as the last call.
     """
 
     __slots__ = ()
 
     def request_written(self) -> None:
-        """The request's last byte was written to the socket."""
+        """Process that the last byte of the request was written to the socket."""
 
     def response_started(self) -> None:
-        """A first part of the response has arrived, but not all of it."""
+        """Process that the first part of a response has arrived; not called if the complete response has."""
 
     def status_received(self, status: int) -> None:
-        """The status line of the final response has arrived completely.
+        """Process the status of the final response, once its status line has arrived completely.
 
-        It is not called for the informational (1xx) responses ahead of the final one.
+        It is not called for the informational (1xx) responses that precede the final one.
         """
 
     def headers_received(self, status: int, headers: dict[str, str]) -> None:
-        """All headers have arrived; their names are in lower case."""
+        """Process the complete headers of the final response; their names are in lower case."""
 
     def body_received(self, data: bytes) -> None:
-        """A part of the body has arrived."""
+        """Process a part of the body."""
 
     def response_complete(self, trailing_bytes: bool) -> None:
-        """The response is complete.
+        """Process the end of the complete response.
 
-        trailing_bytes: bytes that are not another response followed directly behind it.
+        trailing_bytes: whether bytes other than a second response directly followed it.
         """
 
     def connection_lost(self, request_written: bool) -> None:
-        """The connection broke or ended before the response was complete.
+        """Process that the connection was lost before the response was complete.
 
-        request_written: the request's last byte had been written.
+        request_written: whether the last byte of the request was written; if not, the server has not executed
+        the request.
         """
 
     def response_malformed(self) -> None:
-        """The response cannot be parsed; the connection is closed."""
+        """Process that the response cannot be parsed; the connection is closed already."""
         self.connection_lost(True)
