--- a/message_relay/server/discovery/endpoint_watch.py
+++ b/message_relay/server/discovery/endpoint_watch.py
@@ -1,8 +1,14 @@
-"""The watch on the endpoint list: a long response of the discovery service, one JSON line for each change.
+"""Watch on the endpoint list: a response of the discovery service without end, one JSON line for each change.
 
-An endpoint list change must reach this instance within 6 s of when the discovery service had it and could be
-reached, whatever failed before. A silence, one failed request and the longest wait after it fit into that
-together; after SIGHUP the last two fit into 4 s. The timeouts below are chosen for it.
+An endpoint list change must reach this instance at most 6 s after the discovery service has it and is
+reachable, whatever failed before. The time-outs and waits below keep to this: the silence of a broken watch,
+one failed request and the longest wait that can follow it take less than 6 s together. When SIGHUP changes
+the address, which resets the backoffs, one failed request and the longest wait that can follow it take less
+than 4 s.
+
+The watch is reopened from the revision of the latest change reported, so a change that was missed while it
+was broken is sent then. A malformed change cannot be skipped: the watch is reopened from revision 0, and the
+service sends the complete list, which replaces the lost change.
 """
 
 from __future__ import annotations
@@ -18,17 +24,18 @@
 from message_relay.server.discovery.connection import DiscoveryConnection, DiscoveryError
 from message_relay.server.http.response_handler import ResponseHandler
 
-# The service sends an empty line every 2 s: a watch that is silent for longer is taken for dead.
+# The service sends an empty line every 2 s: a watch that is silent for longer is assumed to be broken.
 SILENCE_TIMEOUT_S = 2.7
-# For the first byte of the response and for the rest of a line: a busy service may need a while.
+# Limit for the headers of the response, and for each further part of an unfinished line: a busy service may
+# take longer than usual.
 RESPONSE_TIMEOUT_S = 2.2
-# A lost watch is opened again without long waits, in a fleet of any size.
-LOST_WATCH_LIMITS = CeilingLimits(first_s=2.0, longest_s=3.0)
-# A service that rejects again and again is overloaded by the requests of the whole fleet: each instance then
-# sends as rarely as the 6 s allow.
-REJECTED_WATCH_LIMITS = CeilingLimits(first_s=3.0, longest_s=5.6)
+# A lost watch is reopened without long waits, in a fleet of any size.
+LOST_WATCH_LIMITS = CeilingLimits(initial_s=2.0, maximum_s=3.0)
+# A service that rejects repeatedly is overloaded by the requests of the fleet: each instance then waits
+# nearly as long as the 6 s permit.
+REJECTED_WATCH_LIMITS = CeilingLimits(initial_s=3.0, maximum_s=5.6)
 REJECTED_WATCH_FLOOR_SHARE = 1 / 2
-# An unfinished line longer than this is no change of an endpoint list; it would only fill the memory.
+# A longer unfinished line is not an endpoint list change and would exhaust the memory.
 MAX_LINE_BYTES = 1 << 24
 
 STATUS_OK = 200
@@ -37,14 +44,14 @@
 
 
 class MalformedChangeError(DiscoveryError):
-    """A line of the watch that is not an endpoint list change."""
+    """A line of the watch is not a valid endpoint list change."""
 
 
 class EndpointListChange(NamedTuple):
     """One change of the endpoint list.
 
-    revision: the list's revision after the change; complete: whether the targets are the complete list, or
-    only those that changed; targets: the entries as they came.
+    revision: revision of the list after the change; complete: whether the targets are the complete list, not
+    only those that changed; targets: the entries as received.
     """
 
     revision: int
@@ -53,22 +60,24 @@
 
     @classmethod
     def from_line(cls, line: bytes) -> EndpointListChange:
-        """Parse a line of the watch; MalformedChangeError says what was wrong with it."""
+        """Parse a line of the watch; raises `MalformedChangeError` if it is not a valid change."""
         try:
             fields = json.loads(line)
             revision = int(fields["rev"])
             targets = fields["targets"]
         except (ValueError, KeyError, TypeError, RecursionError) as error:
-            raise MalformedChangeError(f"expected a JSON object with rev and targets: {error!r}") from error
+            raise MalformedChangeError(
+                f"expected a JSON object with rev and targets, not {line[:80]!r}: {error!r}"
+            ) from error
         if not isinstance(targets, list):
-            raise MalformedChangeError(f"targets must be a list, not {type(targets).__name__}")
+            raise MalformedChangeError(f"targets must be a list, not {type(targets).__name__}: {line[:80]!r}")
         return cls(revision, bool(fields.get("all")), targets)
 
 
 class EndpointWatch(DiscoveryConnection, ResponseHandler):
-    """Follows the endpoint list from a revision on and reports each change.
+    """Requests the changes of the endpoint list after a revision and reports each to `on_change`.
 
-    `revision` is that of the latest change reported, 0 to be sent the complete list.
+    `revision` is the revision of the latest change reported; 0 requests the complete list.
     """
 
     def __init__(
@@ -93,14 +102,14 @@
         """Open the watch."""
         self.reconnect()
 
-    def move(self, address: Address) -> None:
-        """Follow the list at another address at once, from the same revision on."""
-        super().move(address)
+    def change_address(self, address: Address) -> None:
+        """Set the address of the discovery service and reopen the watch there at once, from `revision`."""
+        super().change_address(address)
         self._rejected_backoff.reset()
         self.reconnect()
 
     def connected(self) -> None:
-        """Ask for the changes after the latest revision."""
+        """Request the changes after the latest revision."""
         assert self.connection is not None
         self._unfinished_line = b""
         self._status = 0
@@ -109,7 +118,7 @@
         self.connection.send_request("GET", target, [], b"", self)
 
     def headers_received(self, status: int, headers: dict[str, str]) -> None:
-        """Retry later if the watch was rejected; the body of such a response is no endpoint list."""
+        """Retry after a wait if the watch was rejected; the body of such a response is ignored."""
         self._status = status
         if status == STATUS_OK:
             self.set_timer(SILENCE_TIMEOUT_S, self.reconnect)
@@ -118,7 +127,7 @@
             self.retry(self._rejected_backoff)
 
     def body_received(self, data: bytes) -> None:
-        """Report the changes whose lines are complete now."""
+        """Report each change whose line is complete; store an unfinished line."""
         if self._status != STATUS_OK:
             return
         *lines, self._unfinished_line = (self._unfinished_line + data).split(b"\n")
@@ -135,7 +144,7 @@
             change = EndpointListChange.from_line(line)
         except MalformedChangeError as error:
             log.error("malformed endpoint list change: error=%s", error)
-            # The change that the line carried is lost: the complete list replaces it.
+            # The change in this line is lost: revision 0 requests the complete list, which replaces it.
             self.revision = 0
             self.retry()
             return
@@ -145,9 +154,9 @@
         self._on_change(change)
 
     def response_complete(self, trailing_bytes: bool) -> None:
-        """The service ended the watch: open it again."""
+        """Reopen the watch after a wait, since the service ended it."""
         self.retry()
 
     def connection_lost(self, request_written: bool) -> None:
-        """The connection broke: open the watch again."""
+        """Reopen the watch after a wait, since the connection was lost."""
         self.retry()
--- a/message_relay/server/discovery/final_notifier.py
+++ b/message_relay/server/discovery/final_notifier.py
@@ -1,4 +1,4 @@
-"""Notices to the discovery service of the messages that ended undelivered."""
+"""Notices to the discovery service: the final answers of messages that were not delivered."""
 
 from __future__ import annotations
 
@@ -12,10 +12,9 @@
 from message_relay.server.discovery.connection import DiscoveryConnection
 from message_relay.server.http.response_handler import ResponseHandler
 
-# The service answers notices at once: after this long the batch is sent again.
+# The service answers notices at once; a batch without a response in this time is sent again.
 RESPONSE_TIMEOUT_S = 1.0
-# Notices in one request.
-MAX_BATCH_SIZE = 200
+MAX_BATCH_SIZE = 200  # notices in one request
 
 NOTICES_TARGET = "/v2/finals"
 NOTICES_HEADERS = (("Content-Type", "application/x-ndjson"),)
@@ -26,10 +25,10 @@
 
 
 class FinalNotice(NamedTuple):
-    """The final status of one message.
+    """Final answer of one message.
 
-    message_number: the message's number in the journal, which is not sent; retry_after_ms: when the client
-    may submit the message again, 0 for no statement.
+    message_number: number of the message in the journal, not sent; retry_after_ms: time after which the
+    client may resubmit the message, 0 if it is not stated.
     """
 
     message_number: int
@@ -38,7 +37,7 @@
     retry_after_ms: int
 
     def to_line(self) -> bytes:
-        """The notice as a line of JSON."""
+        """Return the notice as a line of JSON."""
         fields: dict[str, Any] = {"id": self.message_id, "status": self.status}
         if self.retry_after_ms:
             fields["again_ms"] = self.retry_after_ms
@@ -46,10 +45,11 @@
 
 
 class FinalNotifier(DiscoveryConnection, ResponseHandler):
-    """Sends notices in batches, one batch at a time, each until the service accepts it with 204.
+    """Sends notices in batches, one batch at a time, and repeats each until the service accepts it with 204.
 
-    Notices are idempotent: sending one twice does no harm. `pending` holds the lines by message number;
-    `on_accepted` is called with the message numbers of a batch that needs no more sending.
+    Notices are idempotent, so one may be sent twice. `pending` holds the JSON lines of the notices that were
+    not accepted yet, by message number. `on_accepted` is called with the message numbers of each batch that
+    was accepted, and of each single notice that was rejected as malformed, which is not repeated.
     """
 
     def __init__(
@@ -67,15 +67,18 @@
         self._status = 0
 
     def enqueue(self, notice: FinalNotice) -> None:
-        """Send the notice, together with others that are enqueued in the same loop turn."""
+        """Add the notice to the pending ones and start to send them if no batch is in flight.
+
+        The first batch is sent in the next iteration of the event loop, with the notices added until then.
+        """
         self.pending[notice.message_number] = notice.to_line()
         if not self._sending:
             self._sending = True
             self.loop.call_soon(self._send_next)
 
-    def move(self, address: Address) -> None:
-        """Send what is not accepted yet to another address, at once."""
-        super().move(address)
+    def change_address(self, address: Address) -> None:
+        """Set the address of the discovery service and send the pending notices there at once."""
+        super().change_address(address)
         if self._sending:
             self.reconnect()
 
@@ -91,7 +94,7 @@
             self.connected()
 
     def connected(self) -> None:
-        """Send the next batch."""
+        """Send the next batch of pending notices."""
         assert self.connection is not None
         self.batch = list(self.pending)[: self._batch_limit]
         body = b"".join(self.pending[number] for number in self.batch)
@@ -100,17 +103,17 @@
         self.connection.send_request("POST", NOTICES_TARGET, NOTICES_HEADERS, body, self)
 
     def headers_received(self, status: int, headers: dict[str, str]) -> None:
-        """Keep the status until the response is complete."""
+        """Store the status until the response is complete."""
         self._status = status
 
     def response_complete(self, trailing_bytes: bool) -> None:
-        """Go on with the next batch, or retry this one."""
+        """Send the next batch if this one was accepted; retry, halve or drop it if it was not."""
         if self._status == STATUS_ACCEPTED:
             self.backoff.reset()
             self._remove_batch()
             self._batch_limit = MAX_BATCH_SIZE
         elif self._status == STATUS_MALFORMED and len(self.batch) > 1:
-            # Halve the batch until the notice that the service finds malformed is alone in one.
+            # Halve the batch until the notice that the service rejects as malformed is the only one in it.
             self._batch_limit = len(self.batch) // 2
         elif self._status == STATUS_MALFORMED:
             log.error("discovery rejected a notice as malformed: notice=%r", self.pending[self.batch[0]])
@@ -127,5 +130,5 @@
         self._on_accepted(self.batch)
 
     def connection_lost(self, request_written: bool) -> None:
-        """The connection broke: send the batch again."""
+        """Send the batch again after a wait, since the connection was lost."""
         self.retry()
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -226,8 +226,8 @@
         """Discovery is at another address: the watch and the notices both go there."""
         if address != self.watch.address:
             log.info("discovery moves: address=%s:%d", *address)
-            self.watch.move(address)
-            self.notifier.move(address)
+            self.watch.change_address(address)
+            self.notifier.change_address(address)
 
     # Reports of the old process in a hot restart (HandoverTarget)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -155,7 +155,7 @@
     ScriptedConnection.script = [*script, "good"]
     ScriptedConnection.opened_at, ScriptedConnection.targets = [], []
     watch = EndpointWatch(loop, Address("127.0.0.1", 1), 4, changes.append, instance_count)
-    watch.move(Address("127.0.0.1", 2)) if moved else watch.start()
+    watch.change_address(Address("127.0.0.1", 2)) if moved else watch.start()
     while not changes:
         loop.step()
     assert len(ScriptedConnection.opened_at) == len(script) + 1
