--- a/message_relay/server/endpoint_calls/attempt.py
+++ b/message_relay/server/endpoint_calls/attempt.py
@@ -1,4 +1,4 @@
-"""What the client of the endpoints and its user exchange: attempts, their outcomes, and the observer."""
+"""Types that are exchanged with the user of `EndpointCallClient`: attempts, outcomes and the observer."""
 
 from __future__ import annotations
 
@@ -10,63 +10,66 @@
 
 @dataclass(slots=True)
 class CallAttempt:
-    """One message's part in a call."""
+    """One attempt to deliver one message; a call carries one attempt, or several in a batch."""
 
     message_number: int
-    attempt: int
+    attempt: int  # number of the attempt for this message
     message_id: str
     idempotency_key: str
     body: bytes
-    timeout_us: int
-    new_connection_timeout_us: int = 0  # used instead of timeout_us on a new connection, 0: the same
-    require_new_connection: bool = False  # a reused connection will not do
-    zone: int = -1  # the endpoint's
-    on_new_connection: bool = False  # the call was given a new connection; valid once `started`
-    started: bool = False  # its first byte may have been written
-    ended: bool = False  # its outcome was reported
+    timeout_us: int  # from the start of the call, which includes connecting
+    new_connection_timeout_us: int = 0  # replaces timeout_us on a new connection; 0: timeout_us applies
+    require_new_connection: bool = False  # the call must not use an idle connection of the pool
+    zone: int = -1  # zone of the endpoint
+    on_new_connection: bool = False  # the call uses a new connection; valid once `started` is set
+    started: bool = False  # the first byte of the request may have been written
+    ended: bool = False  # the outcome was reported
 
 
 class AttemptOutcome(NamedTuple):
-    """How an attempt ended."""
+    """Outcome of an attempt, reported once; the package docstring describes the results."""
 
     result: AttemptResult
-    message_ended: bool = False  # nothing more is to be done for the message
-    retry_after_us: int = 0  # as the endpoint asked for, 0: it did not
-    malformed: bool = False  # a response arrived, but it could not be understood
+    message_ended: bool = False  # the message needs no further attempt
+    retry_after_us: int = 0  # Retry-After of the response, 0: missing
+    malformed: bool = False  # the result is ERROR because the response was malformed or incomplete
 
 
 class CallObserver(Protocol):
-    """What the client of the endpoints asks its user and reports to it.
+    """The user of `EndpointCallClient`, which permits requests and receives outcomes.
 
-    All methods are called synchronously from the event loop callback in which the event was found.
+    Each method is called synchronously, in the event loop callback that detected the event.
     """
 
     def may_write(self, endpoint: int) -> bool:
-        """Whether a request may be written: the endpoint is ready, not cordoned, and no Retry-After runs."""
+        """Return whether a request may be sent to the endpoint now.
+
+        The endpoint must be ready and not cordoned, and no Retry-After may be in force for it.
+        """
         ...
 
     def call_written(self, message_count: int) -> None:
-        """Take note that a call with so many messages was written to its last byte."""
+        """Record that the last byte of a request with this number of messages was written."""
         ...
 
     def attempts_starting(self, attempts: list[CallAttempt]) -> bool:
-        """Take note that these attempts are about to be written; False: they must not be."""
+        """Record the attempts before their request is sent; return False if it must not be sent."""
         ...
 
     def attempt_ended(
         self, attempt: CallAttempt, endpoint: int, outcome: AttemptOutcome, latency_us: int
     ) -> None:
-        """Take note of an attempt's outcome, which is reported once."""
+        """Process the outcome of an attempt; called once per attempt, with the latency of the call."""
         ...
 
     def retry_after_received(self, endpoint: int, wait_us: int) -> None:
-        """Take note of a Retry-After as soon as the headers arrived, before any outcome."""
+        """Process a Retry-After; called when the headers have arrived, before the outcome is known."""
         ...
 
     def load_report_received(self, endpoint: int, values: dict[str, float]) -> None:
-        """Take note of a load report's values by their names."""
+        """Process a load report, given as its values by field name."""
         ...
 
     def health_check_ended(self, endpoint: int, result: AttemptResult, latency_us: int) -> None:
-        """Take note of a health check's result."""
+        """Process the result of a health check; called once per health check."""
         ...
--- a/message_relay/server/endpoint_calls/call.py
+++ b/message_relay/server/endpoint_calls/call.py
@@ -1,4 +1,4 @@
-"""One call in flight to an endpoint: what its response means for each of its attempts."""
+"""One call in flight to an endpoint; maps the response or the failure to an outcome for each attempt."""
 
 from __future__ import annotations
 
@@ -19,25 +19,31 @@
 from message_relay.server.http.connection import HttpConnection
 from message_relay.server.http.response_handler import ResponseHandler
 
-# A response that has started must be complete within this: one that never ends would hold its slot.
+# Time from the first byte of a response to its end. A response that never ends would occupy a slot of the
+# endpoint.
 RESPONSE_TAIL_TIMEOUT_S = 0.5
-MAX_RESPONSE_BODY_BYTES = 64 * 1024  # the limit that the protocol sets
+MAX_RESPONSE_BODY_BYTES = 64 * 1024  # limit of the protocol
 
 
 class CallOwner(Protocol):
-    """What a call needs of the client that started it."""
+    """Interface of the client that started the call."""
 
     loop: asyncio.AbstractEventLoop
     observer: CallObserver
     in_flight: set[EndpointCall]
 
     def release(self, call: EndpointCall) -> None:
-        """End the call; its connection, if still usable, becomes idle."""
+        """Remove the call from those in flight and return its connection to the pool, unless it is closed."""
         ...
 
 
 class EndpointCall(ResponseHandler):
-    """A call with one message, with a batch of them, or, without any, a health check."""
+    """A call that carries one message, a batch of messages or, without messages, a health check.
+
+    The outcome of an attempt is reported as soon as it is certain. The call itself stays in flight until its
+    response is complete or its connection is closed; then it is released, and a connection that is still open
+    returns to the idle pool.
+    """
 
     __slots__ = (
         "_health_check_reported",
@@ -64,12 +70,12 @@
         self.health_check = health_check
         self._health_check_reported = False
         self.started_at_s = owner.loop.time()
-        self.deadline_s = self.started_at_s  # on the loop's clock: when the last attempt times out
+        self.deadline_s = self.started_at_s  # time of the loop's clock at which the last attempt times out
         self.connection: HttpConnection | None = None
         self.timers: list[asyncio.TimerHandle] = []
         self.status = 0
         self.headers: dict[str, str] = {}
-        self.body = bytearray()  # kept for batches alone
+        self.body = bytearray()  # body of a batch's response; empty for other calls
         self.body_bytes_received = 0
 
     @property
@@ -79,31 +85,31 @@
 
     @property
     def latency_us(self) -> int:
-        """How long the call has been in flight."""
+        """Time since the start of the call, in microseconds."""
         return int((self._owner.loop.time() - self.started_at_s) * US_PER_S)
 
     def start_timer(self, delay_s: float, action: Callable[[], None]) -> None:
-        """Call `action` after a delay, unless the call is over by then."""
+        """Schedule `action` after the delay; the timer is cancelled when the call is released."""
         self.timers.append(self._owner.loop.call_later(max(0.0, delay_s), action))
 
-    # What becomes of the request (ResponseHandler)
+    # Progress of the request and its response (ResponseHandler)
 
     def request_written(self) -> None:
-        """Report that the call was written."""
+        """Report to the observer that the request was written, unless it is a health check."""
         if not self.health_check:
             self._owner.observer.call_written(len(self.attempts))
 
     def response_started(self) -> None:
-        """Limit the time for the rest of the response."""
-        self.start_timer(RESPONSE_TAIL_TIMEOUT_S, self._give_up_incomplete)
+        """Start the time-out for the rest of the response."""
+        self.start_timer(RESPONSE_TAIL_TIMEOUT_S, self._abort_incomplete_response)
 
     def status_received(self, status: int) -> None:
-        """End a call with one message on a 200: whatever follows, the message was applied."""
+        """End the attempt of a single message as OK on status 200, which proves that it was applied."""
         if status == STATUS_OK and not self.health_check and not self.batch:
             self.end_all(AttemptOutcome(AttemptResult.OK, message_ended=True))
 
     def headers_received(self, status: int, headers: dict[str, str]) -> None:
-        """Report Retry-After and the load report at once."""
+        """Report Retry-After and the load report to the observer before the body arrives."""
         self.status = status
         self.headers = headers
         if wait_us := parse_retry_after_us(headers):
@@ -112,21 +118,21 @@
             self._owner.observer.load_report_received(self.endpoint, load_report)
 
     def body_received(self, data: bytes) -> None:
-        """Keep the body of a batch's response; close the connection on one that is too long."""
+        """Store the body of a batch's response; abort a response whose body is too long."""
         self.body_bytes_received += len(data)
         if self.batch and self.body_bytes_received <= MAX_RESPONSE_BODY_BYTES:
             self.body += data
         elif self.body_bytes_received > MAX_RESPONSE_BODY_BYTES and self.connection is not None:
-            # It may announce gigabytes and keep sending.
-            self._owner.loop.call_soon(self._give_up_incomplete)
+            # The endpoint may announce gigabytes and send them without end.
+            self._owner.loop.call_soon(self._abort_incomplete_response)
             self.connection.close()
 
     def response_complete(self, trailing_bytes: bool) -> None:
-        """End all attempts by the response.
+        """Report the outcome that the response states for each attempt and release the call.
 
-        Only a complete, well-formed response proves that the call was not executed, or that the message has
-        ended. If its length is stated too short, the rest of it looks like trailing bytes, so a response with
-        these proves nothing.
+        Only a complete, well-formed response proves that a message was not applied or needs no further
+        attempt. Trailing bytes may be the rest of a body whose stated length is too small, so a response
+        followed by them leaves it ambiguous whether the message was applied.
         """
         if self.health_check:
             healthy = self.status == STATUS_OK
@@ -140,30 +146,36 @@
         self._owner.release(self)
 
     def response_malformed(self) -> None:
-        """End all attempts as failed: the messages may have been applied."""
+        """End all attempts with ERROR, since the messages may have been applied, and release the call."""
         if self.health_check:
             self.report_health_check(AttemptResult.ERROR)
         self.end_all(self._malformed_outcome())
         self._owner.release(self)
 
     def connection_lost(self, request_written: bool) -> None:
-        """End all attempts; they were certainly not executed if the request was not written completely."""
+        """End all attempts with RESET, or CONNECT_FAILED if the request was not written to its last byte.
+
+        An endpoint executes no incomplete request, so CONNECT_FAILED proves that no message was applied.
+        """
         if self.health_check:
             self.report_health_check(AttemptResult.RESET)
         self.end_all(AttemptOutcome(AttemptResult.RESET if request_written else AttemptResult.CONNECT_FAILED))
         self._owner.release(self)
 
-    def _give_up_incomplete(self) -> None:
+    def _abort_incomplete_response(self) -> None:
         if self not in self._owner.in_flight:
             return
         if self.connection is not None:
             self.connection.close()
         self.response_malformed()
 
-    # How the call and its attempts end
+    # End of the call and of its attempts
 
     def time_out(self) -> None:
-        """Stop waiting; the connection is closed, or a late response would meet the next call on it."""
+        """End all attempts with TIMEOUT, or CONNECT_FAILED if the request was not written to its last byte.
+
+        The connection is closed: a late response on it would be taken for the response to the next call.
+        """
         connection = self.connection
         written = connection is not None and connection.handler is self and connection.request_written
         if self.health_check:
@@ -172,33 +184,34 @@
         self.end_all(AttemptOutcome(AttemptResult.TIMEOUT if written else AttemptResult.CONNECT_FAILED))
 
     def abandon(self) -> None:
-        """Close the connection and release the call without an outcome."""
+        """Close the connection and release the call without reporting an outcome."""
         if self.connection is not None:
             self.connection.close()
         self._owner.release(self)
 
     def end_all(self, outcome: AttemptOutcome) -> None:
-        """Report the outcome for each attempt that has not ended yet."""
+        """Report the outcome for each attempt whose outcome was not reported yet."""
         for attempt in self.attempts:
             self.end_attempt(attempt, outcome)
 
     def end_attempt(self, attempt: CallAttempt, outcome: AttemptOutcome) -> None:
-        """Report the attempt's outcome, once."""
+        """Report the outcome of the attempt, unless one was reported before."""
         if not attempt.ended:
             attempt.ended = True
             self._owner.observer.attempt_ended(attempt, self.endpoint, outcome, self.latency_us)
 
     def report_health_check(self, result: AttemptResult) -> None:
-        """Report the health check's result, once."""
+        """Report the result if this call is a health check and none was reported before."""
         if self.health_check and not self._health_check_reported:
             self._health_check_reported = True
             self._owner.observer.health_check_ended(self.endpoint, result, self.latency_us)
 
     def _end_batch(self) -> None:
         outcomes = parse_batch_outcomes(bytes(self.body), parse_retry_after_us(self.headers))
-        missing = self._malformed_outcome()  # what the response leaves out may have been applied
+        # A message that is missing from the response may have been applied.
+        default_outcome = self._malformed_outcome()
         for attempt in self.attempts:
-            self.end_attempt(attempt, outcomes.get(attempt.message_id, missing))
+            self.end_attempt(attempt, outcomes.get(attempt.message_id, default_outcome))
 
     def _malformed_outcome(self) -> AttemptOutcome:
         wait_us = parse_retry_after_us(self.headers)
--- a/message_relay/server/endpoint_calls/client.py
+++ b/message_relay/server/endpoint_calls/client.py
@@ -1,4 +1,10 @@
-"""The client that calls the endpoints: one call at a time on each connection, connections are reused."""
+"""Client of the endpoints: sends one call at a time on each connection and reuses idle connections.
+
+A call takes an idle connection of its endpoint's pool, or else opens a new one; no call waits for a
+connection. The connection returns to the pool when the call ends after a complete, well-formed response that
+permits reuse, or when the request was not sent. It is closed after a time-out, a cancellation, a malformed
+response, a response followed by further bytes, or a response that arrives before the request is written.
+"""
 
 from __future__ import annotations
 
@@ -15,18 +21,18 @@
 from message_relay.server.endpoint_calls.responses import US_PER_S
 from message_relay.server.http.connection import LOCAL_RESOURCE_ERRORS, HttpConnection
 
-# Idle connections are closed at this share of the time after which the endpoint would close them: a request
+# Share of the endpoint's connection idle timeout after which this side closes an idle connection. A request
 # written to a connection that the endpoint is closing would end as a reset.
 IDLE_TIMEOUT_SHARE = 0.75
 log = logging.getLogger(__name__)
 
 
 class EndpointCallClient:
-    """The calls in flight and the connections to all endpoints.
+    """Sends calls to all endpoints; holds the calls in flight and the idle connections.
 
-    connection_idle_us: after how long endpoints close idle connections; 0: none is kept.
-    connect_timeout_us: the limit for a connection to be established, and for a health check altogether.
-    max_idle_connections: to all endpoints together.
+    connection_idle_us: connection idle timeout of the endpoints; 0: connections are not reused.
+    connect_timeout_us: limit for establishing a connection, and for a complete health check.
+    max_idle_connections: limit for all endpoints together.
     """
 
     def __init__(
@@ -40,28 +46,28 @@
         self.loop = loop
         self.observer = observer
         self.in_flight: set[EndpointCall] = set()
-        self.opened = 0  # calls on new connections
-        self.reused = 0  # calls on reused ones
+        self.calls_on_new_connections = 0  # includes calls whose connection was not established
+        self.calls_on_reused_connections = 0
         self._connect_timeout_s = connect_timeout_us / US_PER_S
         idle_timeout_s = connection_idle_us * IDLE_TIMEOUT_SHARE / US_PER_S
         self._pools = ConnectionPools(loop, idle_timeout_s, max_idle_connections)
 
     @property
     def pools(self) -> dict[int, ConnectionPool]:
-        """The idle connections by endpoint."""
+        """Pool of idle connections of each endpoint, by endpoint number."""
         return self._pools.by_endpoint
 
     @property
     def idle_connections(self) -> int:
-        """The number of idle connections to all endpoints."""
+        """Number of idle connections to all endpoints."""
         return self._pools.idle_connections
 
     def set_address(self, endpoint: int, address: Address) -> None:
-        """Set where the endpoint is; one that moved gets new connections."""
+        """Set the address of the endpoint; idle connections to a previous address are closed."""
         self._pools.set_address(endpoint, address)
 
     def remove_endpoint(self, endpoint: int) -> None:
-        """Close the idle connections to the endpoint; it cannot be called any more."""
+        """Close the idle connections to the endpoint; later calls to it end as NOT_ATTEMPTED."""
         self._pools.remove(endpoint)
 
     def close_idle_connections(self, endpoint: int) -> None:
@@ -69,55 +75,62 @@
         self._pools.close_idle(endpoint)
 
     def close(self) -> None:
-        """Close all connections; the calls in flight are abandoned without outcomes."""
+        """Close all connections; no outcome is reported for the calls in flight."""
         for endpoint in list(self.pools):
             self._pools.close_idle(endpoint)
         for call in list(self.in_flight):
             call.abandon()
 
-    # What the user asks for
+    # Requests of the user
 
     def send(self, endpoint: int, attempts: list[CallAttempt]) -> None:
-        """Call the endpoint with these messages; each attempt's outcome is reported once."""
+        """Start a call with these attempts; the outcome of each is reported to the observer once."""
         self._start(EndpointCall(self, endpoint, attempts))
 
     def check_health(self, endpoint: int) -> None:
-        """Ask the endpoint for its health; the result is reported once."""
+        """Start a health check of the endpoint; the result is reported to the observer once."""
         call = EndpointCall(self, endpoint, [], health_check=True)
         call.start_timer(self._connect_timeout_s, call.time_out)
         self._start(call)
 
     def abandon_unstarted(self) -> None:
-        """Give up the calls of which no byte was written: they have provably not been executed."""
+        """End health checks, and calls of which no byte was written, as NOT_ATTEMPTED.
+
+        None of their messages was applied.
+        """
         for call in list(self.in_flight):
             if not any(attempt.started for attempt in call.attempts):
                 call.abandon()
-                self._end_unsent(call, AttemptResult.NOT_ATTEMPTED)
+                self._end_before_sending(call, AttemptResult.NOT_ATTEMPTED)
 
     def cancel(self, message_number: int, attempt: int) -> None:
-        """Stop waiting for a call with one message; a message in a batch stays in it."""
+        """End an attempt that is the only one of its call, and close the call's connection.
+
+        The result is CANCELLED, or NOT_ATTEMPTED if no byte of the request was written. An attempt in a batch
+        is not cancelled: the call continues for the other messages.
+        """
         for call in list(self.in_flight):
             if call.batch or not call.attempts:
                 continue
             candidate = call.attempts[0]
-            wanted = candidate.message_number == message_number and candidate.attempt == attempt
-            if wanted and not candidate.ended:
+            matches = candidate.message_number == message_number and candidate.attempt == attempt
+            if matches and not candidate.ended:
                 call.abandon()
                 result = AttemptResult.CANCELLED if candidate.started else AttemptResult.NOT_ATTEMPTED
                 call.end_attempt(candidate, AttemptOutcome(result))
 
-    # How a call gets its connection
+    # Connection of a call
 
     def _start(self, call: EndpointCall) -> None:
         pool = self.pools.get(call.endpoint)
         if pool is None:
-            self._end_unsent(call, AttemptResult.NOT_ATTEMPTED)
+            self._end_before_sending(call, AttemptResult.NOT_ATTEMPTED)
             return
         self.in_flight.add(call)
         if not any(attempt.require_new_connection for attempt in call.attempts):
             connection = self._pools.take_idle(pool)
             if connection is not None:
-                self.reused += 1
+                self.calls_on_reused_connections += 1
                 self._start_timeouts(call, on_new_connection=False)
                 self._write(call, connection)
                 return
@@ -129,9 +142,9 @@
             connection = HttpConnection(self.loop, address)
         except OSError as error:
             log.error("could not create a socket for a call: endpoint=%d error=%s", call.endpoint, error)
-            self._end_unsent(call, AttemptResult.NOT_ATTEMPTED)
+            self._end_before_sending(call, AttemptResult.NOT_ATTEMPTED)
             return
-        self.opened += 1
+        self.calls_on_new_connections += 1
         call.connection = connection
         call.start_timer(
             self._connect_timeout_s, functools.partial(self._connect_timed_out, call, connection)
@@ -140,25 +153,26 @@
             connection.connect(lambda error: self._connected(call, connection, error))
         except OSError as error:
             connection.close()
-            self._end_unconnected(call, error)
+            self._end_after_connect_error(call, error)
 
     def _connected(self, call: EndpointCall, connection: HttpConnection, error: OSError | None) -> None:
         if error is None:
             self._write(call, connection)
         else:
-            self._end_unconnected(call, error)
+            self._end_after_connect_error(call, error)
 
     def _connect_timed_out(self, call: EndpointCall, connection: HttpConnection) -> None:
         if connection.handler is None and not call.status:
             call.time_out()
 
-    # How a call is timed
+    # Time-outs of a call
 
     def _start_timeouts(self, call: EndpointCall, on_new_connection: bool) -> None:
-        """Start the time-outs, which depend on the connection that the call is on.
+        """Start the time-out of each attempt; its length depends on whether the connection is new.
 
-        The messages of a batch share its fate: one that ended sooner could be attempted again while its first
-        copy is still in flight. The user limits each time-out by its message's deadline.
+        Each attempt of a batch has its own timer, and the call ends with the last one. The user makes the
+        time-outs of a batch equal, as far as each message's deadline permits: a message that timed out sooner
+        could be attempted again while its first copy is still in flight.
         """
         for attempt in call.attempts:
             attempt.on_new_connection = on_new_connection
@@ -172,21 +186,21 @@
     def _attempt_timed_out(self, call: EndpointCall, attempt: CallAttempt) -> None:
         if attempt.ended:
             return
-        pending_attempts = sum(not other.ended for other in call.attempts)
-        if pending_attempts == 1:
+        pending_count = sum(not other.ended for other in call.attempts)
+        if pending_count == 1:
             call.time_out()
             return
         result = AttemptResult.TIMEOUT if attempt.started else AttemptResult.CONNECT_FAILED
         call.end_attempt(attempt, AttemptOutcome(result))
 
-    # How a call is written
+    # Sending of a request
 
     def _write(self, call: EndpointCall, connection: HttpConnection) -> None:
         call.connection = connection
         call.attempts = [attempt for attempt in call.attempts if not attempt.ended]
-        if not self._may_write(call):
-            self._end_unsent(call, AttemptResult.NOT_ATTEMPTED)
-            self._pools.keep(call.endpoint, connection)
+        if not self._write_permitted(call):
+            self._end_before_sending(call, AttemptResult.NOT_ATTEMPTED)
+            self._pools.return_to_pool(call.endpoint, connection)
             return
         for attempt in call.attempts:
             attempt.started = True
@@ -196,21 +210,23 @@
             request = delivery_request(call.attempts, call.deadline_s, self.loop.time)
         connection.send_request(request.method, request.path, request.headers, request.body, call)
 
-    def _may_write(self, call: EndpointCall) -> bool:
-        """Ask again: things may have changed while the connection was being established."""
+    def _write_permitted(self, call: EndpointCall) -> bool:
+        """Return whether the call may still be sent; this can change while a connection is established."""
         if not call.attempts and not call.health_check:
             return False
         if not self.observer.may_write(call.endpoint):
             return False
         return call.health_check or self.observer.attempts_starting(call.attempts)
 
-    # How a call ends
+    # End of a call
 
-    def _end_unconnected(self, call: EndpointCall, error: OSError) -> None:
-        local = error.errno in LOCAL_RESOURCE_ERRORS
-        self._end_unsent(call, AttemptResult.NOT_ATTEMPTED if local else AttemptResult.CONNECT_FAILED)
+    def _end_after_connect_error(self, call: EndpointCall, error: OSError) -> None:
+        local_error = error.errno in LOCAL_RESOURCE_ERRORS
+        self._end_before_sending(
+            call, AttemptResult.NOT_ATTEMPTED if local_error else AttemptResult.CONNECT_FAILED
+        )
 
-    def _end_unsent(self, call: EndpointCall, result: AttemptResult) -> None:
+    def _end_before_sending(self, call: EndpointCall, result: AttemptResult) -> None:
         self._remove(call)
         call.report_health_check(result)
         call.end_all(AttemptOutcome(result))
@@ -221,9 +237,9 @@
             timer.cancel()
 
     def release(self, call: EndpointCall) -> None:
-        """End the call; its connection, if still usable, becomes idle."""
+        """Remove the call from those in flight and return its connection to the pool, unless it is closed."""
         if call not in self.in_flight:
             return
         self._remove(call)
         if call.connection is not None:
-            self._pools.keep(call.endpoint, call.connection)
+            self._pools.return_to_pool(call.endpoint, call.connection)
--- a/message_relay/server/endpoint_calls/connection_pool.py
+++ b/message_relay/server/endpoint_calls/connection_pool.py
@@ -1,4 +1,4 @@
-"""The idle keep-alive connections to all endpoints."""
+"""Pools of idle keep-alive connections to the endpoints."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from message_relay.server.configuration import Address
 from message_relay.server.http.connection import HttpConnection
 
-MAX_IDLE_PER_ENDPOINT = 8  # idle connections kept to one endpoint
+MAX_IDLE_PER_ENDPOINT = 8  # idle connections
 
 
 def _ignore_close() -> None:
-    """Do nothing: the connection is in no pool any more."""
+    """Do nothing when a connection outside of the pools is closed."""
 
 
 @dataclass(slots=True)
 class ConnectionPool:
-    """The idle connections to one endpoint."""
+    """Idle connections to one endpoint, each with the timer that closes it."""
 
     address: Address
-    idle: list[HttpConnection] = field(default_factory=list)  # the most recently used last
+    idle: list[HttpConnection] = field(default_factory=list)  # most recently used last
     timers: dict[HttpConnection, asyncio.TimerHandle] = field(default_factory=dict)
 
 
 class ConnectionPools:
-    """The pools of all endpoints, with a limit on the idle connections of all of them."""
+    """Pools of all endpoints, with a limit on their idle connections together."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, idle_timeout_s: float, max_idle_connections: int
@@ -33,18 +33,18 @@
         self.by_endpoint: dict[int, ConnectionPool] = {}
         self.idle_connections = 0
         self._loop = loop
-        self._idle_timeout_s = idle_timeout_s  # 0: no connection is kept
+        self._idle_timeout_s = idle_timeout_s  # 0: connections are not reused
         self._max_idle_connections = max_idle_connections
 
     def set_address(self, endpoint: int, address: Address) -> None:
-        """Set where the endpoint is; the idle connections to another address are closed."""
+        """Set the address of the endpoint; idle connections to a previous address are closed."""
         pool = self.by_endpoint.get(endpoint)
         if pool is None or pool.address != address:
             self.close_idle(endpoint)
             self.by_endpoint[endpoint] = ConnectionPool(address)
 
     def remove(self, endpoint: int) -> None:
-        """Close the idle connections to the endpoint and forget its address."""
+        """Close the idle connections to the endpoint and remove its pool."""
         self.close_idle(endpoint)
         self.by_endpoint.pop(endpoint, None)
 
@@ -55,7 +55,10 @@
                 connection.close()
 
     def take_idle(self, pool: ConnectionPool) -> HttpConnection | None:
-        """Take the most recently used connection that is not stale; stale ones are closed."""
+        """Remove the most recently used connection from the pool and return it, or None if there is none.
+
+        Stale connections are closed and skipped.
+        """
         while pool.idle:
             connection = pool.idle.pop()
             pool.timers.pop(connection).cancel()
@@ -66,8 +69,13 @@
             connection.close()
         return None
 
-    def keep(self, endpoint: int, connection: HttpConnection) -> None:
-        """Keep a connection that is no longer used, or close it if it is of no use or one too many."""
+    def return_to_pool(self, endpoint: int, connection: HttpConnection) -> None:
+        """Add an open connection to the idle pool of its endpoint, or close it.
+
+        It is closed if the endpoint was removed or has another address, if connections are not reused, or if
+        the pool or all pools together are at their limit. A pooled connection is closed after the idle
+        timeout.
+        """
         if connection.closed:
             return
         pool = self.by_endpoint.get(endpoint)
--- a/message_relay/server/endpoint_calls/requests.py
+++ b/message_relay/server/endpoint_calls/requests.py
@@ -1,4 +1,4 @@
-"""The requests that carry messages to endpoints."""
+"""HTTP requests to endpoints: single messages, batches and health checks."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 HEALTH_CHECK_PATH = "/alive"
 SINGLE_PATH = "/events"
 BATCH_PATH = "/events/bundle"
-MIN_TIMEOUT_MS = 1  # a call whose time is up while it is being written still states a valid time-out
+MIN_TIMEOUT_MS = 1  # the header must be positive even if the deadline passes while the request is built
 MS_PER_S = 1e3
 
 
 class EndpointRequest(NamedTuple):
-    """The parts of an HTTP request that depend on the call."""
+    """Parts of an HTTP request that depend on the call."""
 
     method: str
     path: str
@@ -35,10 +35,11 @@
 ) -> EndpointRequest:
     """Return the request for one message or a batch.
 
-    deadline_s: until when, in seconds of `clock`, the call is waited for; the endpoint gets what remains.
+    deadline_s: time of `clock`, in seconds, at which the call times out; the time that remains until then is
+    sent to the endpoint.
     """
     if len(attempts) > 1:
-        body = _batch_body(attempts)  # first, so that the time that it takes is off the time that remains
+        body = _batch_body(attempts)  # before the header, so that the remaining time excludes the encoding
         headers = [_timeout_header(deadline_s - clock()), ("Content-Type", "application/json")]
         return EndpointRequest("POST", BATCH_PATH, headers, body)
     attempt = attempts[0]
--- a/message_relay/server/endpoint_calls/responses.py
+++ b/message_relay/server/endpoint_calls/responses.py
@@ -1,4 +1,4 @@
-"""What the responses of endpoints mean: statuses, batch bodies, Retry-After and load reports."""
+"""Parsers of endpoint responses: statuses, batch bodies, Retry-After and load reports."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from message_relay.server.endpoint_calls.attempt import AttemptOutcome
 
 STATUS_OK = 200
-STATUS_MESSAGE_ENDED = 410  # the endpoint did nothing, and nothing more is to be done
+STATUS_MESSAGE_ENDED = 410  # the endpoint did nothing, and the message needs no further attempt
 OVERLOAD_STATUSES = (429, 503)
 NOT_EXECUTED_STATUSES = (400, 413, 504)  # the endpoint did nothing
 
 RETRY_AFTER_HEADER = "retry-after"
 LOAD_REPORT_HEADER = "x-server-load"
-NO_SLOT_HEADER = "slots-taken"  # "1": rejected for want of a slot at this endpoint, which is no overload
+NO_SLOT_HEADER = "slots-taken"  # "1": no slot was free at this endpoint, which does not count as overload
 
-MAX_RETRY_AFTER_S = 120.0  # a destination asks for no longer wait: a higher value is an error
+MAX_RETRY_AFTER_S = 120.0  # longest wait of any destination; a higher value is invalid and ignored
 US_PER_S = 1e6
 
 BATCH_RESULTS = {
@@ -31,7 +31,7 @@
 
 
 def outcome_of_status(status: int, headers: dict[str, str]) -> AttemptOutcome:
-    """Return what the complete response to a call with one message means for the attempt."""
+    """Return the outcome that a complete, well-formed response to a single message states."""
     wait_us = parse_retry_after_us(headers)
     if status == STATUS_OK:
         return AttemptOutcome(AttemptResult.OK, message_ended=True, retry_after_us=wait_us)
@@ -43,22 +43,22 @@
         return AttemptOutcome(AttemptResult.NOT_ATTEMPTED, message_ended=True, retry_after_us=wait_us)
     if status in NOT_EXECUTED_STATUSES:
         return AttemptOutcome(AttemptResult.NOT_ATTEMPTED, retry_after_us=wait_us)
-    # 500, or a status that the protocol does not name: the message may have been applied.
+    # 500, or a status that the protocol does not define: the message may have been applied.
     return AttemptOutcome(AttemptResult.ERROR, retry_after_us=wait_us)
 
 
 def parse_retry_after_us(headers: dict[str, str]) -> int:
-    """Return the Retry-After in microseconds, 0 if there is none or none that can be used."""
+    """Return the Retry-After in microseconds, 0 if it is missing or invalid."""
     try:
         seconds = float(headers.get(RETRY_AFTER_HEADER, "0"))
     except ValueError:
         return 0
-    usable = 0 < seconds <= MAX_RETRY_AFTER_S  # false for NaN, too
+    usable = 0 < seconds <= MAX_RETRY_AFTER_S  # False for NaN, too
     return int(seconds * US_PER_S) if usable else 0
 
 
 def parse_load_report(headers: dict[str, str]) -> dict[str, float]:
-    """Return the values of a load report by their names, none if any of them is malformed."""
+    """Return the values of a load report by field name; empty if it is missing or a value is malformed."""
     try:
         pairs = (pair.split("=", 1) for pair in headers.get(LOAD_REPORT_HEADER, "").split(",") if pair)
         values = {name.strip(): float(value) for name, value in pairs}
@@ -68,9 +68,11 @@
 
 
 def parse_batch_outcomes(body: bytes, wait_us: int) -> dict[str, AttemptOutcome]:
-    """Return the outcomes in a batch's response by message id.
+    """Return the outcome of each message in a batch's response, by message id.
 
-    There are none if the body is malformed or names a message twice. wait_us: the response's Retry-After.
+    The result is empty if the body is malformed, has an unknown state or contains a message twice. A message
+    without an outcome may have been applied. wait_us: Retry-After of the response, in microseconds; it is
+    part of each outcome.
     """
     try:
         rows = json.loads(body)
--- a/tests/test_endpoint_calls.py
+++ b/tests/test_endpoint_calls.py
@@ -286,7 +286,7 @@
         end.set()
         ended.wait(10)  # blocks the loop, which cannot notice the close
         assert (await observer.send(port, "b"))[0][1].result is AttemptResult.OK
-        assert observer.client.opened == 2
+        assert observer.client.calls_on_new_connections == 2
         observer.client.close()
         thread.join()
         listener.close()
--- a/tests/test_malformed_responses.py
+++ b/tests/test_malformed_responses.py
@@ -86,7 +86,9 @@
             await asyncio.sleep(0.01)
         assert await observer.send(endpoint.port, "b") == [("b", outcome if step == "close" else OK)]
         reusable = name.startswith(("1xx", "a bad report", "wait"))
-        assert endpoint.server is not None and observer.client.opened == (1 if reusable else 2)
+        assert endpoint.server is not None and observer.client.calls_on_new_connections == (
+            1 if reusable else 2
+        )
         await endpoint.stop()
 
     asyncio.run(run())
