--- a/message_relay/server/discovery/backoff.py
+++ b/message_relay/server/discovery/backoff.py
@@ -1,13 +1,12 @@
-"""Exponential backoff with jitter for the requests to the discovery service.
+"""Exponential backoff with jitter, for requests to the discovery service and for configuration reloads.
 
 Each wait is drawn at random between a floor and a ceiling, so that the instances of a fleet that lose the
 service at the same time do not all reconnect at the same time. The ceiling doubles with each wait:
 
 - The initial and the maximum ceiling grow with the number of instances, since the service has to answer the
   requests of all of them: if these exceed its capacity, no instance is answered.
-- `CeilingLimits` are upper bounds of both. They apply to the endpoint watch, which has to receive a change in
-a
-  limited time in a fleet of any size.
+- `CeilingLimits` are upper bounds of both. They apply to the endpoint watch, which has to receive a change
+  in a limited time in a fleet of any size.
 - The floor is a share of the ceiling. It prevents a run of short random waits from becoming a busy loop.
 """
 
--- a/message_relay/server/discovery/endpoint_watch.py
+++ b/message_relay/server/discovery/endpoint_watch.py
@@ -67,7 +67,7 @@
             targets = fields["targets"]
         except (ValueError, KeyError, TypeError, RecursionError) as error:
             raise MalformedChangeError(
-                f"expected a JSON object with rev and targets, not {line[:80]!r}: {error!r}"
+                f"expected JSON with rev and targets, not {line[:80]!r}: {type(error).__name__}: {error}"
             ) from error
         if not isinstance(targets, list):
             raise MalformedChangeError(f"targets must be a list, not {type(targets).__name__}: {line[:80]!r}")
--- a/message_relay/server/endpoint_calls/call.py
+++ b/message_relay/server/endpoint_calls/call.py
@@ -41,8 +41,8 @@
     """A call that carries one message, a batch of messages or, without messages, a health check.
 
     The outcome of an attempt is reported as soon as it is certain. The call itself stays in flight until its
-    response is complete or its connection is closed; then it is released, and a connection that is still open
-    returns to the idle pool.
+    response is complete or its connection is closed. It is then released: a connection that is still open is
+    offered to the idle pool.
     """
 
     __slots__ = (
--- a/message_relay/server/endpoint_calls/client.py
+++ b/message_relay/server/endpoint_calls/client.py
@@ -2,8 +2,9 @@
 
 A call takes an idle connection of its endpoint's pool, or else opens a new one; no call waits for a
 connection. The connection returns to the pool when the call ends after a complete, well-formed response that
-permits reuse, or when the request was not sent. It is closed after a time-out, a cancellation, a malformed
-response, a response followed by further bytes, or a response that arrives before the request is written.
+permits reuse, or when the request was not sent. It is closed if the pool is at its limit, and after a
+time-out, a cancellation, a malformed or incomplete response, a response followed by further bytes, or a
+response that arrives before the request is written.
 """
 
 from __future__ import annotations
--- a/message_relay/server/http/response_handler.py
+++ b/message_relay/server/http/response_handler.py
@@ -13,36 +13,36 @@
     __slots__ = ()
 
     def request_written(self) -> None:
-        """Process that the last byte of the request was written to the socket."""
+        """Handle the write of the last byte of the request to the socket."""
 
     def response_started(self) -> None:
-        """Process that the first part of a response has arrived; not called if the complete response has."""
+        """Handle the first part of a response; not called if the complete response arrives at once."""
 
     def status_received(self, status: int) -> None:
-        """Process the status of the final response, once its status line has arrived completely.
+        """Handle the status of the final response, when its status line is complete.
 
         It is not called for the informational (1xx) responses that precede the final one.
         """
 
     def headers_received(self, status: int, headers: dict[str, str]) -> None:
-        """Process the complete headers of the final response; their names are in lower case."""
+        """Handle the complete headers of the final response; their names are in lower case."""
 
     def body_received(self, data: bytes) -> None:
-        """Process a part of the body."""
+        """Handle a part of the body."""
 
     def response_complete(self, trailing_bytes: bool) -> None:
-        """Process the end of the complete response.
+        """Handle the end of the complete response.
 
         trailing_bytes: whether bytes other than a second response directly followed it.
         """
 
     def connection_lost(self, request_written: bool) -> None:
-        """Process that the connection was lost before the response was complete.
+        """Handle the loss of the connection before the response was complete.
 
         request_written: whether the last byte of the request was written; if not, the server has not executed
         the request.
         """
 
     def response_malformed(self) -> None:
-        """Process that the response cannot be parsed; the connection is closed already."""
+        """Handle a response that cannot be parsed; the connection is closed already."""
         self.connection_lost(True)
