--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -235,8 +235,8 @@
         """Move the endpoint watch and the notices to another address of discovery."""
         if address != self.watch.address:
             log.info("discovery address changed: address=%s:%d", *address)
-            self.watch.move(address)
-            self.notifier.move(address)
+            self.watch.change_address(address)
+            self.notifier.change_address(address)
 
     # Reports of the old process in a hot restart (HandoverTarget)
 
