--- a/message_relay/policy/admission.py
+++ b/message_relay/policy/admission.py
@@ -32,7 +32,7 @@
         state.destination(event.destination),
     )
     message = Message.submitted(event, message_class, destination, state.sequence, state.now_us)
-    destination.arrivals += 1
+    destination.submitted_messages += 1
     for group in destination.groups:
         slow_start.credit_new_message(state, group)
     message.weight = message_class.priority_weight * _tenant_weight_factor(state, event.tenant)
--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -31,7 +31,7 @@
 def dispatch(state: PolicyState) -> None:
     """Send the queued messages that may be sent, the most urgent first, while slots are free."""
     waiting = (destination for destination in state.destinations.values() if destination.queue)
-    selected = {d.number: candidate for d in waiting if (candidate := selection.select(state, d))}
+    selected = {d.id: candidate for d in waiting if (candidate := selection.select(state, d))}
     while selected and state.in_flight < state.settings.call_slots:
         number = min(selected, key=lambda n: selected[n].order)
         candidate = selected.pop(number)
@@ -70,17 +70,17 @@
     """
     endpoint, now = call.endpoint, state.now_us
     oldest_reusable_us = now - state.statistics.idle_reuse_limit_us
-    if endpoint.idle_since_us and not call.require_new_connection:
-        newest_us = endpoint.idle_since_us[-1]
+    if endpoint.idle_connections_since_us and not call.require_new_connection:
+        newest_us = endpoint.idle_connections_since_us[-1]
         if newest_us > oldest_reusable_us:
             call.connection_idle_us = now - newest_us
         elif newest_us > now - state.settings.connection_idle_timeout_us:
             state.actions.append(model.CloseIdleConnections(endpoint.id))
-    endpoint.idle_since_us = [
-        since_us for since_us in endpoint.idle_since_us if since_us > oldest_reusable_us
+    endpoint.idle_connections_since_us = [
+        since_us for since_us in endpoint.idle_connections_since_us if since_us > oldest_reusable_us
     ]
     if not call.require_new_connection:
-        endpoint.idle_since_us = endpoint.idle_since_us[:-1]
+        endpoint.idle_connections_since_us = endpoint.idle_connections_since_us[:-1]
 
 
 def _start_attempt(state: PolicyState, message: Message, call: Call) -> None:
@@ -124,14 +124,14 @@
     if event.new_connection is not None and event.new_connection != (call.connection_idle_us < 0):
         call.connection_idle_us = -1 if event.new_connection else 0
         if event.new_connection:  # the server had no idle connection, contrary to this record
-            endpoint.idle_since_us.clear()
+            endpoint.idle_connections_since_us.clear()
     if call.open_attempts:
         return
     state.count_in_flight(call, -1)
     endpoint.in_flight.pop(id(call), None)
     if event.result in (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED):
         if state.statistics.idle_reuse_limit_us or endpoint.group.destination.queue:
-            endpoint.idle_since_us.append(state.now_us)
+            endpoint.idle_connections_since_us.append(state.now_us)
         else:
             state.actions.append(model.CloseIdleConnections(endpoint.id))
 
--- a/message_relay/policy/membership.py
+++ b/message_relay/policy/membership.py
@@ -22,7 +22,7 @@
 
 def _apply_entry(state: PolicyState, entry: EndpointEntry) -> None:
     endpoint = state.endpoints.get(entry.endpoint)
-    if endpoint is not None and endpoint.group.destination.number != entry.destination:
+    if endpoint is not None and endpoint.group.destination.id != entry.destination:
         endpoint.state = EndpointState.REMOVED  # it changed its destination: its statistics no longer apply
         endpoint.group.endpoints.pop(endpoint.id)
         endpoint = None
--- a/message_relay/policy/outlier_detection.py
+++ b/message_relay/policy/outlier_detection.py
@@ -86,7 +86,7 @@
             return False
         concurrency_window.halve(group)
     elif event.result is AttemptResult.CONNECT_FAILED:
-        endpoint.idle_since_us.clear()
+        endpoint.idle_connections_since_us.clear()
         return since_success_us >= RECENT_SUCCESS_US or not endpoint.in_flight
     return True
 
--- a/message_relay/policy/selection.py
+++ b/message_relay/policy/selection.py
@@ -165,7 +165,7 @@
     low failure rate, a reusable idle connection, low cost, few calls in flight.
     """
     oldest_reusable_us = state.now_us - state.statistics.idle_reuse_limit_us
-    reusable = any(since_us > oldest_reusable_us for since_us in endpoint.idle_since_us)
+    reusable = any(since_us > oldest_reusable_us for since_us in endpoint.idle_connections_since_us)
     if state.large_fleet:  # random, with probabilities in proportion to the endpoints' rates
         group = endpoint.group
         rate = (group.advertised_rate_per_s or 1.0) * (REJECTION_RATE_OFFSET - group.rejection_rate)
--- a/message_relay/policy/slow_start.py
+++ b/message_relay/policy/slow_start.py
@@ -28,7 +28,7 @@
     """
     min_observed_us = state.settings.slow_start_us if state.large_fleet else MAX_TRANSIENT_FAULT_US
     observed_us = max(state.now_us - state.started_at_us, min_observed_us, 1)
-    return group.advertised_rate_per_s or group.destination.arrivals / observed_us * 1e6
+    return group.advertised_rate_per_s or group.destination.submitted_messages / observed_us * 1e6
 
 
 def update_target_rate(state: PolicyState, endpoint: Endpoint) -> None:
@@ -54,7 +54,7 @@
     circuit.slow_start_since_us = circuit.bucket.updated_at_us = state.now_us
     circuit.bucket.tokens = state.random.random() if state.large_fleet else 1.0
     endpoint.failure_rate = 0.0
-    endpoint.idle_since_us.clear()
+    endpoint.idle_connections_since_us.clear()
     state.log(f"endpoint uncordoned: slow start, endpoint={endpoint.id}")
 
 
--- a/message_relay/policy_snapshot/snapshots.py
+++ b/message_relay/policy_snapshot/snapshots.py
@@ -87,9 +87,9 @@
 class DestinationSnapshot(NamedTuple):
     """A destination with its endpoint groups. Fields as in Destination."""
 
-    number: int
+    id: int
     type_index: int
-    arrivals: int
+    submitted_messages: int
     groups: list[GroupSnapshot]
 
 
@@ -144,9 +144,9 @@
             "health": self.instance.statistics_values(),
             "dests": [
                 [
-                    destination.number,
+                    destination.id,
                     destination.type_index,
-                    destination.arrivals,
+                    destination.submitted_messages,
                     [[group.endpoints, group.values] for group in destination.groups],
                 ]
                 for destination in self.destinations
@@ -169,8 +169,10 @@
             attempts=wire["tries"],
             instance=InstanceSnapshot.from_values(wire["courier"], wire["health"]),
             destinations=[
-                DestinationSnapshot(number, type_index, arrivals, [GroupSnapshot(*group) for group in groups])
-                for number, type_index, arrivals, groups in wire["dests"]
+                DestinationSnapshot(
+                    number, type_index, submitted_messages, [GroupSnapshot(*group) for group in groups]
+                )
+                for number, type_index, submitted_messages, groups in wire["dests"]
             ],
             endpoints=[EndpointSnapshot(*values) for values in wire["endpoints"]],
             messages=[MessageSnapshot(*values) for values in wire["messages"]],
--- a/message_relay/policy_snapshot/transfer.py
+++ b/message_relay/policy_snapshot/transfer.py
@@ -47,11 +47,11 @@
 
 def _capture_destination(destination: Destination) -> DestinationSnapshot:
     groups = [GroupSnapshot(list(group.endpoints), group_values(group)) for group in destination.groups]
-    return DestinationSnapshot(destination.number, destination.type_index, destination.arrivals, groups)
+    return DestinationSnapshot(destination.id, destination.type_index, destination.submitted_messages, groups)
 
 
 def _capture_endpoint(endpoint: Endpoint) -> EndpointSnapshot:
-    destination, circuit = endpoint.group.destination.number, circuit_values(endpoint.circuit)
+    destination, circuit = endpoint.group.destination.id, circuit_values(endpoint.circuit)
     return EndpointSnapshot(endpoint.id, destination, endpoint.zone, endpoint_values(endpoint), circuit)
 
 
@@ -59,7 +59,7 @@
     return MessageSnapshot(
         message.id,
         state.settings.classes.index(message.message_class),
-        message.destination.number,
+        message.destination.id,
         message.deadline_us,
         message.last_endpoint.id if message.last_endpoint else -1,
         message_values(message),
@@ -90,11 +90,11 @@
     """
     _restore_instance(state, snapshot.instance)
     type_indexes = {
-        d.number: min(d.type_index, len(state.settings.destination_types) - 1) for d in snapshot.destinations
+        d.id: min(d.type_index, len(state.settings.destination_types) - 1) for d in snapshot.destinations
     }
     _restore_endpoints(state, snapshot, endpoints, type_indexes)
     for destination in snapshot.destinations:
-        _restore_destination(state, destination, endpoints, type_indexes[destination.number])
+        _restore_destination(state, destination, endpoints, type_indexes[destination.id])
     for message in snapshot.messages:
         _restore_message(state, message, endpoints)
     for call in snapshot.calls:
@@ -135,8 +135,8 @@
 def _restore_destination(
     state: PolicyState, captured: DestinationSnapshot, endpoints: dict[int, int], type_index: int
 ) -> None:
-    destination = state.destination(captured.number)
-    destination.type_index, destination.arrivals = type_index, captured.arrivals
+    destination = state.destination(captured.id)
+    destination.type_index, destination.submitted_messages = type_index, captured.submitted_messages
     for group in captured.groups:
         numbers = [endpoints.get(number, 0) for number in group.endpoints]
         present = [state.endpoints[number] for number in numbers if number in state.endpoints]
--- a/message_relay/policy_state/entities.py
+++ b/message_relay/policy_state/entities.py
@@ -75,7 +75,7 @@
     cordoned: bool = False  # an operator excluded it from new calls
     in_flight: dict[int, Call] = field(default_factory=dict)  # by id(call), oldest call first
     # For each idle connection the time at which it became idle, oldest first.
-    idle_since_us: list[int] = field(default_factory=list)
+    idle_connections_since_us: list[int] = field(default_factory=list)
     failure_rate: float = 0.0  # share of failed calls, used to rank endpoints
     # Share of calls that failed after the message may have been applied, as of ambiguous_failure_at_us; it
     # fades with time (outlier_detection.ambiguous_failure_rate).
@@ -144,12 +144,12 @@
 class Destination:
     """Receiver of messages: its endpoint groups and the messages that wait to be sent to it."""
 
-    number: int  # the number that events use for it
+    id: int  # the number that events use for it
     type_index: int = 0  # index in Settings.destination_types
     groups: list[EndpointGroup] = field(default_factory=list)
     queue: list[Message] = field(default_factory=list)  # open messages without an attempt in flight
     in_flight: int = 0  # calls in flight
-    arrivals: int = 0  # messages submitted so far, from which its traffic is estimated
+    submitted_messages: int = 0  # messages submitted so far, from which its traffic is estimated
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -41,7 +41,7 @@
     driver = PolicyDriver()
 
     def send_call(idle_us, result):
-        driver.policy.state.endpoints[100].idle_since_us = [driver.now - idle_us]
+        driver.policy.state.endpoints[100].idle_connections_since_us = [driver.now - idle_us]
         circuit = driver.policy.state.endpoints[100].circuit
         (
             circuit.open,
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -20,7 +20,7 @@
     """Send calls one after the other, of which one in ``calls_per_reset`` is reset and the others succeed."""
     endpoint = driver.policy.state.endpoints[100]
     for n in range(2 * calls_per_reset):
-        endpoint.idle_since_us = [driver.now - SECOND // 10] if reused else []
+        endpoint.idle_connections_since_us = [driver.now - SECOND // 10] if reused else []
         (
             endpoint.circuit.open,
             endpoint.circuit.slow_start_since_us,
@@ -46,7 +46,7 @@
 
 
 def requires_new_connection(driver):
-    driver.policy.state.endpoints[100].idle_since_us = [driver.now - SECOND // 10]
+    driver.policy.state.endpoints[100].idle_connections_since_us = [driver.now - SECOND // 10]
     return actions_of(SendAttempt, driver.submit(message_class=2))[0].require_new_connection
 
 
@@ -70,7 +70,7 @@
 def send_call(driver, reused, result=AttemptResult.TIMEOUT):
     """Send one call, on a connection that was idle or on a new one, and return its SendAttempt actions."""
     endpoint = driver.policy.state.endpoints[100]
-    endpoint.idle_since_us = (
+    endpoint.idle_connections_since_us = (
         [driver.now - (4 * SECOND if result is AttemptResult.TIMEOUT else SECOND // 10)] if reused else []
     )
     (
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -278,7 +278,7 @@
                 4: (0, 0),
                 5: (1, 1),
             }
-            assert policy.in_flight == 2 and [x.number for x in policy.destinations.values()] == [7, 9, 8, 10]
+            assert policy.in_flight == 2 and [x.id for x in policy.destinations.values()] == [7, 9, 8, 10]
             assert policy.endpoints[4].cordoned and not policy.endpoints[1].cordoned
             assert (
                 policy.endpoints[3].group.retry_after_until_us == 372_341_669
--- a/tests/test_wide_lists.py
+++ b/tests/test_wide_lists.py
@@ -70,7 +70,7 @@
             assert not [
                 endpoint
                 for endpoint in relay.policy.state.endpoints.values()
-                if endpoint.state.value == "ready" and endpoint.group.destination.number != 7
+                if endpoint.state.value == "ready" and endpoint.group.destination.id != 7
             ]
             print(f"{form.__name__}: {cpu_s * 1000:.0f} ms of processor time")
             assert cpu_s < 1.0  # usually 10 to 20 ms
