--- a/message_relay/policy/eligibility.py
+++ b/message_relay/policy/eligibility.py
@@ -39,7 +39,7 @@
     if now < group.retry_after_until_us:
         state.schedule_tick(group.retry_after_until_us)
         return False
-    in_recovery = group.recovery.since_us >= 0
+    in_recovery = group.recovery.limited_since_us >= 0
     if in_recovery and (wait_us := recovery_budget.wait_us(state, group)) and not fast_retry:
         state.schedule_tick(now + wait_us)
         return False
--- a/message_relay/policy/rate_limiter.py
+++ b/message_relay/policy/rate_limiter.py
@@ -81,13 +81,13 @@
 
     The wait is the Retry-After in microseconds, or a backoff with jitter if that is 0. No tokens accrue then.
     """
-    if state.now_us >= group.rate_cut_until_us:
+    if state.now_us >= group.next_rate_cut_at_us:
         round_trip_us = max(int(group.latency_mean_us), 2 * state.settings.tick_interval_us)
-        group.rate_cut_until_us = state.now_us + round_trip_us
+        group.next_rate_cut_at_us = state.now_us + round_trip_us
         concurrency_window.halve(group)
         _decrease_rate(state, group)
-        group.consecutive_rejections += 1
-    wait_us = retry_after_us or retry.backoff_us(state, group.consecutive_rejections)
+        group.consecutive_overloads += 1
+    wait_us = retry_after_us or retry.backoff_us(state, group.consecutive_overloads)
     group.retry_after_until_us = max(group.retry_after_until_us, state.now_us + wait_us)
     tokens(state, group)
     group.bucket.tokens = min(group.bucket.tokens, 1.0)
@@ -117,7 +117,7 @@
 
 def record_success(state: PolicyState, group: EndpointGroup) -> None:
     """Count a success in the rejection rates of the group and its destination type."""
-    group.consecutive_rejections = 0
+    group.consecutive_overloads = 0
     group.rejection_rate *= 1 - REJECTION_EWMA_WEIGHT
     state.statistics.rejection_rates[group.destination.type_index] *= 1 - TYPE_REJECTION_EWMA_WEIGHT
 
@@ -129,16 +129,16 @@
     rejection: with equal steps, one call in ten was rejected. In a large fleet the rate limit is removed when
     the last cut is REJECTION_EXPIRY_US ago and the queue is empty.
     """
-    rate, since_cut_us = group.rate_limit_per_s, state.now_us - group.rate_cut_until_us
+    rate, since_cut_allowed_us = group.rate_limit_per_s, state.now_us - group.next_rate_cut_at_us
     if not rate:
         return
     near_rejected_rate = rate >= NEAR_REJECTED_RATE_SHARE * group.last_rejected_rate_per_s
     step = (
-        INCREASE_SHARE * min(1.0, max(MIN_INCREASE_FACTOR, since_cut_us / REJECTION_EXPIRY_US))
+        INCREASE_SHARE * min(1.0, max(MIN_INCREASE_FACTOR, since_cut_allowed_us / REJECTION_EXPIRY_US))
         if near_rejected_rate
         else INCREASE_SHARE
     )
     max_rate = group.advertised_rate_per_s * state.settings.instance_count or math.inf
     group.rate_limit_per_s = min(max_rate, rate + step * (group.advertised_rate_per_s or rate))
-    if state.large_fleet and not group.destination.queue and since_cut_us > REJECTION_EXPIRY_US:
+    if state.large_fleet and not group.destination.queue and since_cut_allowed_us > REJECTION_EXPIRY_US:
         group.rate_limit_per_s = 0.0
--- a/message_relay/policy/recovery_budget.py
+++ b/message_relay/policy/recovery_budget.py
@@ -29,9 +29,9 @@
     ):
         return
     recovery = group.recovery
-    if recovery.since_us < 0:
-        recovery.failures, recovery.since_us = 0, state.now_us
-        recovery.rate_per_s = traffic_share_per_s(state, group)
+    if recovery.limited_since_us < 0:
+        recovery.failures, recovery.limited_since_us = 0, state.now_us
+        recovery.initial_traffic_per_s = traffic_share_per_s(state, group)
         recovery.bucket.tokens, recovery.bucket.updated_at_us = state.random.random(), state.now_us
     if shut_down:  # no tokens accrue until the Retry-After ends, since it ends for all instances at once
         recovery.bucket.tokens = min(recovery.bucket.tokens, state.random.random())
@@ -66,9 +66,9 @@
     The slow start begins with empty buckets, since the call that succeeded has used this instance's share.
     Circuits that failed calls opened stay open: those endpoints need a half-open attempt.
     """
-    if group.recovery.since_us < 0:
+    if group.recovery.limited_since_us < 0:
         return
-    group.recovery.since_us = -1
+    group.recovery.limited_since_us = -1
     for endpoint in group.endpoints.values() if group.recovery.failures > 1 else ():
         circuit = endpoint.circuit
         circuit.target_rate_per_s = traffic_share_per_s(state, group)
@@ -82,11 +82,14 @@
 def wait_us(state: PolicyState, group: EndpointGroup) -> int:
     """Return the microseconds until the group may get the next call, 0 if it may now."""
     recovery, settings = group.recovery, state.settings
-    if recovery.since_us < 0:
+    if recovery.limited_since_us < 0:
         return 0
     # The full overload factor, without the margin of the slow start: calls to a destination that is still
     # down do no harm, and random variation above the budget is tolerated.
     allowed_factor = min(1.0, settings.overload_factor * settings.slow_start_share)
-    rate = max(MIN_RATE_PER_S, allowed_factor * max(recovery.rate_per_s, traffic_share_per_s(state, group)))
+    rate = max(
+        MIN_RATE_PER_S,
+        allowed_factor * max(recovery.initial_traffic_per_s, traffic_share_per_s(state, group)),
+    )
     tokens = recovery.bucket.refill(state.now_us, rate)
     return 0 if tokens >= 1.0 else recovery.bucket.wait_us(rate)
--- a/message_relay/policy/selection.py
+++ b/message_relay/policy/selection.py
@@ -86,7 +86,7 @@
 
     Always False in a small fleet without a recovery budget in force: there a retry needs no token.
     """
-    if not state.large_fleet and all(group.recovery.since_us < 0 for group in destination.groups):
+    if not state.large_fleet and all(group.recovery.limited_since_us < 0 for group in destination.groups):
         return False
     return any(message.fast_retry and message.ready_at_us <= state.now_us for message in destination.queue)
 
--- a/message_relay/policy_state/entities.py
+++ b/message_relay/policy_state/entities.py
@@ -96,9 +96,9 @@
     Used in small fleets only (``policy.recovery_budget``).
     """
 
-    since_us: int = -1  # start of the limit, -1 if there is none
+    limited_since_us: int = -1  # start of the limit, -1 if there is none
     failures: int = 0  # failures since then
-    rate_per_s: float = 0.0  # rate of calls to the group when the limit began
+    initial_traffic_per_s: float = 0.0  # traffic share of the instance when the limit began
     bucket: TokenBucket = field(default_factory=lambda: TokenBucket(0.0))  # calls that are allowed now
 
 
@@ -118,12 +118,12 @@
     last_rejected_rate_per_s: float = 0.0  # rate at the last rejection; near it the rate limit grows slowly
     bucket: TokenBucket = field(default_factory=TokenBucket)  # calls that the rate limit allows now
     retry_after_until_us: int = 0  # no call is sent before this time
-    rate_cut_until_us: int = 0  # rejections before this time belong to the same overload: no further rate cut
+    next_rate_cut_at_us: int = 0  # no cut before this time: rejections until then belong to the last overload
     rejection_rate: float = 0.0  # share of calls rejected because of overload
     concurrency_window: float = 1.0  # upper bound of calls in flight, rounded down
     in_flight: int = 0  # calls in flight
     # Overloads since the last success, from which the backoff follows if there is no Retry-After.
-    consecutive_rejections: int = 0
+    consecutive_overloads: int = 0
     latency_mean_us: float = 0.0  # of successful calls, 0 until there was one
     latency_deviation_us: float = 0.0  # mean deviation from latency_mean_us
     # Mean time for which a call uses a slot; failed calls count, rejected ones do not.
