--- a/message_relay/policy/admission.py
+++ b/message_relay/policy/admission.py
@@ -86,7 +86,7 @@
         backlog = len(destination.queue) - sum(rate_limiter.tokens(state, group) for group in groups)
         return float(backlog / rate * 1e6 > MAX_QUEUE_DELAY_SHARE * remaining_us)
     # For groups without calls so far: that of the destination type, squared so that a low one counts little.
-    type_rejection_rate = state.statistics.rejection_rates[destination.type_index] ** 2
+    type_rejection_rate = state.statistics.rejection_rate_by_type[destination.type_index] ** 2
     rejection_rates_of_groups = [
         group.rejection_rate if group.rejection_rate or group.last_success_at_us else type_rejection_rate
         for group in groups
--- a/message_relay/policy/connection_reuse.py
+++ b/message_relay/policy/connection_reuse.py
@@ -3,14 +3,14 @@
 An endpoint or a proxy may drop an idle connection silently, and the next call on it is lost. If calls on
 reused connections are lost clearly more often than on new ones, the reuse limit is cut below the age at which
 one failed; successes on old connections raise it again. The evidence is two pairs of EWMAs over all calls of
-the instance: the shares of reset and of unanswered calls, on new and on reused connections.
+the instance: the shares of reset and of timed-out calls, on new and on reused connections.
 """
 
 from message_relay.model import AttemptResult
 from message_relay.policy_state import Call, ConnectionRates, PolicyState
 
 RESET_EWMA_WEIGHT = 1 / 16  # of the newest call in the shares of reset calls
-UNANSWERED_EWMA_WEIGHT = 1 / 32  # of the newest call in the shares of unanswered calls
+TIMEOUT_EWMA_WEIGHT = 1 / 32  # of the newest call in the shares of timed-out calls
 # Reuse is taken as the cause of losses if their share on reused connections exceeds EXCESS_LOSS_FACTOR times
 # that on new connections, plus EXCESS_LOSS_SHARE.
 EXCESS_LOSS_FACTOR = 1.5
@@ -30,17 +30,15 @@
     if result in (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.RESET):
         _update_rate(statistics.reset_rates, call, result is AttemptResult.RESET, RESET_EWMA_WEIGHT)
     if result is not AttemptResult.CONNECT_FAILED:
-        _update_rate(
-            statistics.unanswered_rates, call, result is AttemptResult.TIMEOUT, UNANSWERED_EWMA_WEIGHT
-        )
+        _update_rate(statistics.timeout_rates, call, result is AttemptResult.TIMEOUT, TIMEOUT_EWMA_WEIGHT)
     if call.connection_idle_us < 0 or result not in (AttemptResult.TIMEOUT, AttemptResult.RESET):
         return
     # If calls on new connections are lost about as often, the idle time is not the cause.
-    rates = statistics.reset_rates if result is AttemptResult.RESET else statistics.unanswered_rates
+    rates = statistics.reset_rates if result is AttemptResult.RESET else statistics.timeout_rates
     if rates.reused > EXCESS_LOSS_FACTOR * rates.new + EXCESS_LOSS_SHARE:
         # The connection was dropped silently while it was idle: older ones must be closed before a call.
-        statistics.lost_idle_calls += 1
-        if statistics.lost_idle_calls > 1:
+        statistics.calls_lost_on_reuse += 1
+        if statistics.calls_lost_on_reuse > 1:
             age_us = max(call.connection_idle_us, 2 * call.endpoint.group.latency_mean_us)
             statistics.idle_reuse_limit_us = min(
                 statistics.idle_reuse_limit_us, int(REUSE_LIMIT_CUT_FACTOR * age_us)
@@ -66,7 +64,7 @@
     ):
         raised_limit_us = int(statistics.idle_reuse_limit_us * REUSE_LIMIT_GROWTH_FACTOR)
         statistics.idle_reuse_limit_us = min(state.settings.connection_idle_timeout_us, raised_limit_us)
-        statistics.lost_idle_calls = 0
+        statistics.calls_lost_on_reuse = 0
 
 
 def reused_connections_reset_more_often(state: PolicyState) -> bool:
--- a/message_relay/policy/rate_limiter.py
+++ b/message_relay/policy/rate_limiter.py
@@ -111,7 +111,7 @@
 def record_rejection(state: PolicyState, group: EndpointGroup) -> None:
     """Count a rejection in the rejection rates of the group and its destination type."""
     group.rejection_rate += (1 - group.rejection_rate) * REJECTION_EWMA_WEIGHT
-    rates, type_index = state.statistics.rejection_rates, group.destination.type_index
+    rates, type_index = state.statistics.rejection_rate_by_type, group.destination.type_index
     rates[type_index] += (1 - rates[type_index]) * TYPE_REJECTION_EWMA_WEIGHT
 
 
@@ -119,7 +119,7 @@
     """Count a success in the rejection rates of the group and its destination type."""
     group.consecutive_overloads = 0
     group.rejection_rate *= 1 - REJECTION_EWMA_WEIGHT
-    state.statistics.rejection_rates[group.destination.type_index] *= 1 - TYPE_REJECTION_EWMA_WEIGHT
+    state.statistics.rejection_rate_by_type[group.destination.type_index] *= 1 - TYPE_REJECTION_EWMA_WEIGHT
 
 
 def grow(state: PolicyState, group: EndpointGroup) -> None:
--- a/message_relay/policy_snapshot/snapshots.py
+++ b/message_relay/policy_snapshot/snapshots.py
@@ -31,13 +31,13 @@
         return [
             self.started_at_us,
             statistics.idle_reuse_limit_us,
-            statistics.rejection_rates,
-            statistics.lost_idle_calls,
+            statistics.rejection_rate_by_type,
+            statistics.calls_lost_on_reuse,
             statistics.slot_occupancy_us,
             statistics.lost_call_rate,
             statistics.connection_setup_us,
             statistics.connection_setup_deviation_us,
-            [statistics.unanswered_rates.new, statistics.unanswered_rates.reused],
+            [statistics.timeout_rates.new, statistics.timeout_rates.reused],
             [statistics.reset_rates.new, statistics.reset_rates.reused],
         ]
 
@@ -48,13 +48,13 @@
         (
             started_at_us,
             idle_reuse_limit_us,
-            rejection_rates,
-            lost_idle_calls,
+            rejection_rate_by_type,
+            calls_lost_on_reuse,
             slot_occupancy_us,
             lost_call_rate,
             connection_setup_us,
             connection_setup_deviation_us,
-            unanswered_rates,
+            timeout_rates,
             reset_rates,
         ) = statistics
         return cls(
@@ -65,13 +65,13 @@
             started_at_us,
             CallStatistics(
                 idle_reuse_limit_us=idle_reuse_limit_us,
-                rejection_rates=rejection_rates,
-                lost_idle_calls=lost_idle_calls,
+                rejection_rate_by_type=rejection_rate_by_type,
+                calls_lost_on_reuse=calls_lost_on_reuse,
                 slot_occupancy_us=slot_occupancy_us,
                 lost_call_rate=lost_call_rate,
                 connection_setup_us=connection_setup_us,
                 connection_setup_deviation_us=connection_setup_deviation_us,
-                unanswered_rates=ConnectionRates(*unanswered_rates),
+                timeout_rates=ConnectionRates(*timeout_rates),
                 reset_rates=ConnectionRates(*reset_rates),
             ),
         )
--- a/message_relay/policy_state/entities.py
+++ b/message_relay/policy_state/entities.py
@@ -241,12 +241,12 @@
     """Statistics over the calls to all endpoints."""
 
     idle_reuse_limit_us: int  # longest idle time after which a connection is still reused
-    rejection_rates: list[float]  # share of calls rejected because of overload, by destination type
+    rejection_rate_by_type: list[float]  # share of calls rejected because of overload, by destination type
     lost_call_rate: float  # share of calls without a response from an endpoint that answers other calls
-    lost_idle_calls: int = 0  # calls lost on idle connections since idle_reuse_limit_us was last raised
+    calls_lost_on_reuse: int = 0  # calls lost on reused connections since idle_reuse_limit_us was last raised
     # Mean time for which a call uses a slot; failed calls count, rejected ones do not.
     slot_occupancy_us: float = INITIAL_SLOT_OCCUPANCY_US
     connection_setup_us: float = 0.0  # mean extra latency of the first call on a connection, 0: not measured
     connection_setup_deviation_us: float = 0.0  # mean deviation from connection_setup_us
-    unanswered_rates: ConnectionRates = field(default_factory=ConnectionRates)  # calls that timed out
+    timeout_rates: ConnectionRates = field(default_factory=ConnectionRates)  # calls that timed out
     reset_rates: ConnectionRates = field(default_factory=ConnectionRates)  # calls whose connection was reset
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -97,7 +97,7 @@
     return sent
 
 
-def test_unanswered_calls_on_new_connections_too_do_not_shorten_idle_reuse():
+def test_timed_out_calls_on_new_connections_too_do_not_shorten_idle_reuse():
     driver = PolicyDriver()
     for _ in range(40):
         for reused in (True, False):
@@ -107,7 +107,7 @@
     assert driver.policy.state.statistics.idle_reuse_limit_us == 10 * SECOND
 
 
-def test_unanswered_calls_on_reused_connections_alone_shorten_idle_reuse():
+def test_timed_out_calls_on_reused_connections_alone_shorten_idle_reuse():
     driver = PolicyDriver()
     for _ in range(6):
         send_call(driver, True)
