--- a/message_relay/policy/admission.py
+++ b/message_relay/policy/admission.py
@@ -24,14 +24,14 @@
     """Queue a new message, or send its final answer if it is rejected or has no attempt left."""
     if event.message in state.messages:
         return
-    state.sequence += 1
+    state.last_sequence += 1
     if event.resubmitted:
         state.rejections_since_resubmission = 0
     message_class, destination = (
         state.settings.classes[event.message_class],
         state.destination(event.destination),
     )
-    message = Message.submitted(event, message_class, destination, state.sequence, state.now_us)
+    message = Message.submitted(event, message_class, destination, state.last_sequence, state.now_us)
     destination.submitted_messages += 1
     for group in destination.groups:
         slow_start.credit_new_message(state, group)
@@ -59,8 +59,8 @@
 def _log_capacity(state: PolicyState) -> None:
     capacity_reached = len(state.messages) >= state.settings.max_open_messages - 1
     capacity_available = len(state.messages) < state.settings.max_open_messages * CAPACITY_FREE_SHARE
-    if capacity_reached != state.capacity_full and (capacity_reached or capacity_available):
-        state.capacity_full = capacity_reached
+    if capacity_reached != state.capacity_reached_logged and (capacity_reached or capacity_available):
+        state.capacity_reached_logged = capacity_reached
         slots = f"in_flight={state.in_flight} slots={state.settings.call_slots}"
         state.log(f"{'capacity reached' if capacity_reached else 'capacity available'}, {slots}")
 
--- a/message_relay/policy/delivery_policy.py
+++ b/message_relay/policy/delivery_policy.py
@@ -51,8 +51,8 @@
         for event in events:
             if handler := self._handlers.get(type(event)):
                 handler(event)
-        while state.timers and state.timers[0] <= now_us:
-            heapq.heappop(state.timers)
+        while state.scheduled_ticks and state.scheduled_ticks[0] <= now_us:
+            heapq.heappop(state.scheduled_ticks)
         final_answer.expire(state)
         attempts.dispatch(state)
         admission.shed_load(state)
--- a/message_relay/policy_snapshot/snapshots.py
+++ b/message_relay/policy_snapshot/snapshots.py
@@ -11,9 +11,9 @@
 class InstanceSnapshot(NamedTuple):
     """State of the instance as such: counters, quotas and call statistics. Fields as in PolicyState."""
 
-    sequence: int
+    last_sequence: int
     rejections_since_resubmission: int
-    capacity_full: bool
+    capacity_reached_logged: bool
     quotas: list[TenantQuota]
     started_at_us: int
     statistics: CallStatistics
@@ -23,7 +23,7 @@
         quotas = [
             [quota.rate_per_s, quota.bucket.tokens, quota.bucket.updated_at_us] for quota in self.quotas
         ]
-        return [self.sequence, self.rejections_since_resubmission, self.capacity_full, quotas]
+        return [self.last_sequence, self.rejections_since_resubmission, self.capacity_reached_logged, quotas]
 
     def statistics_values(self) -> Values:
         """Return the start time and the statistics, in the order in which they are sent."""
@@ -44,7 +44,7 @@
     @classmethod
     def from_values(cls, instance: Values, statistics: Values) -> InstanceSnapshot:
         """Return the snapshot from the lists that instance_values and statistics_values returned."""
-        sequence, rejections_since_resubmission, capacity_full, quotas = instance
+        last_sequence, rejections_since_resubmission, capacity_reached_logged, quotas = instance
         (
             started_at_us,
             idle_reuse_limit_us,
@@ -58,9 +58,9 @@
             reset_rates,
         ) = statistics
         return cls(
-            sequence,
+            last_sequence,
             rejections_since_resubmission,
-            capacity_full,
+            capacity_reached_logged,
             [TenantQuota(rate, TokenBucket(tokens, at_us)) for rate, tokens, at_us in quotas],
             started_at_us,
             CallStatistics(
--- a/message_relay/policy_snapshot/transfer.py
+++ b/message_relay/policy_snapshot/transfer.py
@@ -31,9 +31,9 @@
     return PolicySnapshot(
         attempts={message.id: message.attempts for message in state.messages.values()},
         instance=InstanceSnapshot(
-            state.sequence,
+            state.last_sequence,
             state.rejections_since_resubmission,
-            state.capacity_full,
+            state.capacity_reached_logged,
             state.quotas,
             state.started_at_us,
             state.statistics,
@@ -105,9 +105,9 @@
 
 
 def _restore_instance(state: PolicyState, instance: InstanceSnapshot) -> None:
-    state.sequence = instance.sequence
+    state.last_sequence = instance.last_sequence
     state.rejections_since_resubmission = instance.rejections_since_resubmission
-    state.capacity_full = instance.capacity_full
+    state.capacity_reached_logged = instance.capacity_reached_logged
     state.quotas = instance.quotas
     state.started_at_us = instance.started_at_us
     state.statistics = instance.statistics
@@ -183,7 +183,7 @@
     endpoint.in_flight[id(call)] = call
     if captured.half_open:
         endpoint.circuit.half_open_call = call
-    state.count_in_flight(call, 1)
+    state.add_calls_in_flight(call, 1)
     for number, attempt in captured.attempts:
         message = state.messages[number]
         state.calls[(number, attempt)] = (call, message)
--- a/message_relay/policy_state/state.py
+++ b/message_relay/policy_state/state.py
@@ -55,14 +55,14 @@
         self.messages: dict[int, Message] = {}
         self.calls: dict[tuple[int, int], tuple[Call, Message]] = {}  # by message and attempt
         # Calls in flight, and the sequence number of the message submitted last.
-        self.in_flight = self.sequence = 0
+        self.in_flight = self.last_sequence = 0
         self.expiries: list[tuple[float, int]] = []  # heap of (time, message): when to check for expiry
-        self.timers: list[int] = []  # heap of the times of scheduled ticks
+        self.scheduled_ticks: list[int] = []  # heap of the times of the scheduled ticks
         self.order_queues: dict[int, list[Message]] = {}  # by order key, in order of submission
         self.order_pauses: dict[int, int] = {}  # by order key: no first attempt before this time
         quota_rates_per_s = [tenant.quota_per_s / settings.instance_count for tenant in settings.tenants]
         self.quotas = [TenantQuota(rate_per_s, TokenBucket()) for rate_per_s in quota_rates_per_s]
-        self.capacity_full = False  # the log last reported that the limit of open messages is reached
+        self.capacity_reached_logged = False  # the log last reported that the open messages reach the limit
         self.rejections_since_resubmission = 0  # rejections since a client last resubmitted a message
         self.statistics = CallStatistics(
             settings.connection_idle_timeout_us,
@@ -80,8 +80,8 @@
         If another tick is due by then, nothing is scheduled: that tick schedules the next one if needed.
         """
         tick_at_us = max(int(at_us), self.now_us + self.tick_interval_us)
-        if not self.timers or tick_at_us < self.timers[0]:
-            heapq.heappush(self.timers, tick_at_us)
+        if not self.scheduled_ticks or tick_at_us < self.scheduled_ticks[0]:
+            heapq.heappush(self.scheduled_ticks, tick_at_us)
             self.actions.append(SetTimer(tick_at_us - self.now_us, 0))
 
     def destination(self, number: int) -> Destination:
@@ -95,7 +95,7 @@
         """Check at that time whether the message has expired (``policy.final_answer.expire``)."""
         heapq.heappush(self.expiries, (at_us, message.id))
 
-    def count_in_flight(self, call: Call, change: int) -> None:
+    def add_calls_in_flight(self, call: Call, change: int) -> None:
         """Add ``change`` (1 or -1) to the numbers of calls in flight that include the call."""
         group = call.endpoint.group
         self.in_flight += change
