--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -25,7 +25,7 @@
 # Added to each Retry-After, which arrives truncated to milliseconds: no call is sent just before its end.
 RETRY_AFTER_ROUNDING_US = 1_000
 # Results that prove that the message was not applied.
-NOT_APPLIED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_ATTEMPTED)
+RESULTS_NOT_APPLIED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_ATTEMPTED)
 
 
 def dispatch(state: PolicyState) -> None:
@@ -110,10 +110,10 @@
     ambiguous = event.result in (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
     if ambiguous and message.order_key and state.settings.order_key_pause_us:
         state.order_pauses[message.order_key] = state.now_us + state.settings.order_key_pause_us
-    if message.closed or event.message_ended or message.streaming:
+    if message.closed or event.message_ended or message.response_started:
         state.close_message(message)
         return
-    if event.result not in NOT_APPLIED and message.possibly_applied_at_us < 0:
+    if event.result not in RESULTS_NOT_APPLIED and message.possibly_applied_at_us < 0:
         message.possibly_applied_at_us, message.possibly_applied_zone = call.sent_at_us, call.endpoint.zone
     if not message.in_flight:
         _retry_or_finish(state, message, call, event)
@@ -179,6 +179,6 @@
     else:
         if last_start_us < message.deadline_us - state.deadline_margin_us:
             state.schedule_expiry(last_start_us, message)
-        message.ready_at_us = state.now_us + wait_us
-        message.fast_retry = message.attempts == 1 and event.latency_us < FAST_FAILURE_US
+        message.next_attempt_at_us = state.now_us + wait_us
+        message.fast_retry_allowed = message.attempts == 1 and event.latency_us < FAST_FAILURE_US
         message.destination.queue.append(message)
--- a/message_relay/policy/delivery_policy.py
+++ b/message_relay/policy/delivery_policy.py
@@ -34,7 +34,7 @@
             model.EndpointCordoned: self._cordon,
             model.StateImported: self._import_state,
             model.ShutdownScheduled: self._schedule_shutdown,
-            model.ResponseStarted: self._mark_streaming,
+            model.ResponseStarted: self._record_response_started,
         }
 
     def handle(self, now_us: int, events: Iterable[model.Event]) -> list[model.Action]:
@@ -98,6 +98,6 @@
     def _schedule_shutdown(self, event: model.ShutdownScheduled) -> None:
         self.state.shutdown_at_us = event.deadline_us
 
-    def _mark_streaming(self, event: model.ResponseStarted) -> None:
+    def _record_response_started(self, event: model.ResponseStarted) -> None:
         if message := self.state.messages.get(event.message):
-            message.streaming = True
+            message.response_started = True
--- a/message_relay/policy/eligibility.py
+++ b/message_relay/policy/eligibility.py
@@ -64,11 +64,11 @@
         return False  # the shutdown could cut the call off
     if message.closed or message.in_flight or message.attempts >= state.max_attempts or remaining_us <= 0:
         return False
-    if state.now_us < message.ready_at_us:
-        state.schedule_tick(message.ready_at_us)
+    if state.now_us < message.next_attempt_at_us:
+        state.schedule_tick(message.next_attempt_at_us)
         return False
     no_half_open_token = state.large_fleet and circuit.open and circuit.bucket.tokens < 1.0
-    if not message.fast_retry and (no_half_open_token or recovery_budget.wait_us(state, group)):
+    if not message.fast_retry_allowed and (no_half_open_token or recovery_budget.wait_us(state, group)):
         return False
     if message.possibly_applied_at_us >= 0 and not _repeat_allowed(state, message, endpoint):
         return False
--- a/message_relay/policy/final_answer.py
+++ b/message_relay/policy/final_answer.py
@@ -41,7 +41,7 @@
     """Finish the messages whose deadline or last possible start has passed."""
     while state.expiries and state.expiries[0][0] <= state.now_us:
         message = state.messages.get(heapq.heappop(state.expiries)[1])
-        if message is None or message.closed or message.streaming:
+        if message is None or message.closed or message.response_started:
             continue
         if message.in_flight and state.now_us < message.deadline_us:
             # The attempt in flight ends by the deadline, with a success or a time-out.
--- a/message_relay/policy/selection.py
+++ b/message_relay/policy/selection.py
@@ -88,7 +88,10 @@
     """
     if not state.large_fleet and all(group.recovery.limited_since_us < 0 for group in destination.groups):
         return False
-    return any(message.fast_retry and message.ready_at_us <= state.now_us for message in destination.queue)
+    return any(
+        message.fast_retry_allowed and message.next_attempt_at_us <= state.now_us
+        for message in destination.queue
+    )
 
 
 def _weight_change_by_waiting(state: PolicyState, destination: Destination) -> functools.partial[float]:
--- a/message_relay/policy_state/entities.py
+++ b/message_relay/policy_state/entities.py
@@ -177,15 +177,16 @@
     deadline_us: int
     submitted_at_us: int  # the deadline less the deadline of the class
     destination: Destination
-    ready_at_us: int  # no attempt starts before this time (backoff)
+    next_attempt_at_us: int  # no attempt starts before this time (backoff)
     attempts: int = 0  # attempts started, those before a restart included
     in_flight: int = 0  # attempts in flight
     possibly_applied_at_us: int = -1  # start of the first attempt that may have been applied, -1 if none
     possibly_applied_zone: int = -1  # zone of that attempt's endpoint, -1 if unknown
     last_endpoint: Endpoint | None = None  # endpoint of the last attempt
     closed: bool = False  # no final answer is needed any more; only outcomes of attempts are awaited
-    streaming: bool = False  # the client receives a response: no further attempt, no expiry
-    fast_retry: bool = False  # its first attempt failed fast: its next one is exempt from the recovery limits
+    response_started: bool = False  # the client receives a response: no further attempt, no expiry
+    # Its first attempt failed fast: its next one is exempt from the recovery limits.
+    fast_retry_allowed: bool = False
     weight: float = 1.0  # class weight, reduced if the tenant is over its quota
     restored: bool = False  # accepted before a restart
 
@@ -207,7 +208,7 @@
             deadline_us=event.deadline_us,
             submitted_at_us=event.deadline_us - message_class.deadline_us,
             destination=destination,
-            ready_at_us=now_us,
+            next_attempt_at_us=now_us,
             attempts=event.attempts,
             possibly_applied_at_us=event.possibly_applied_at_us,
             possibly_applied_zone=event.possibly_applied_zone,
--- a/tests/test_policy_hot_restart.py
+++ b/tests/test_policy_hot_restart.py
@@ -121,8 +121,8 @@
     old = delivery_policy()
     old.handle(0, [listed((1, 7)), submitted(1)])
     old.handle(1000, [AttemptEnded(1, 0, 1, AttemptResult.ERROR, 900)])
-    ready_at = old.state.messages[1].ready_at_us
-    assert ready_at > 1000
+    next_attempt_at = old.state.messages[1].next_attempt_at_us
+    assert next_attempt_at > 1000
     new, actions = restored_policy(old, 1001, {1: 50}, listed((50, 7)))
-    assert sends(actions) == [] and new.state.messages[1].ready_at_us == ready_at
-    assert sends(new.handle(ready_at + 1, [])) == [(1, 50)]
+    assert sends(actions) == [] and new.state.messages[1].next_attempt_at_us == next_attempt_at
+    assert sends(new.handle(next_attempt_at + 1, [])) == [(1, 50)]
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -32,7 +32,7 @@
 
 SECOND = 1_000_000
 TICK_US = 5_000
-NOT_APPLIED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_ATTEMPTED)
+RESULTS_NOT_APPLIED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_ATTEMPTED)
 
 
 def random_settings(rng):
@@ -168,7 +168,7 @@
                     "sent before Retry-After ended"
                 )
                 assert not [k for k in in_flight if k[0] == action.message], "two attempts in flight"
-                possibly_applied = [h for h in history[action.message] if h[0] not in NOT_APPLIED]
+                possibly_applied = [h for h in history[action.message] if h[0] not in RESULTS_NOT_APPLIED]
                 assert len(history[action.message]) < settings.max_attempts
                 if possibly_applied:
                     assert message_class.idempotency is not Idempotency.NON_IDEMPOTENT
@@ -205,7 +205,7 @@
                 ended[action.message] = message
                 assert now <= message.deadline_us + settings.answer_slack_us
                 message_class = settings.classes[message.message_class]
-                possibly_applied = [h for h in history[action.message] if h[0] not in NOT_APPLIED]
+                possibly_applied = [h for h in history[action.message] if h[0] not in RESULTS_NOT_APPLIED]
                 if (
                     isinstance(action, RejectMessage)
                     and message_class.idempotency is not Idempotency.IDEMPOTENT
