--- a/message_relay/server/hot_restart/new_process.py
+++ b/message_relay/server/hot_restart/new_process.py
@@ -43,7 +43,7 @@
     async def wait_for_list(self, timeout_s: float) -> None:
         """Wait until discovery has sent an endpoint list, or until the timeout."""
 
-    async def begin_serving(self, handed_over: HandoverState | None = None) -> int:
+    async def begin_serving(self, handover: HandoverState | None = None) -> int:
         """Restore the state, start serving, and return the port; this process holds the journal lock."""
 
     def report_received(self, report: Report) -> None:
@@ -173,9 +173,9 @@
             if await requester.request_handover() and await _acquire_within_timeout(target.journal):
                 # Before any record is written: an old process without the confirmation could otherwise
                 # acquire the lock again and append its records after those of this process.
-                handed_over = requester.confirm_ownership()
-                log.info("hot restart: journal acquired, clients=%d", len(handed_over.clients))
-                port = await target.begin_serving(handed_over)
+                handover = requester.confirm_ownership()
+                log.info("hot restart: journal acquired, clients=%d", len(handover.clients))
+                port = await target.begin_serving(handover)
                 if requester.old_process_disconnected:  # possibly before the calls in flight were imported
                     target.reports_ended()
                 return port
--- a/message_relay/server/hot_restart/state_transfer.py
+++ b/message_relay/server/hot_restart/state_transfer.py
@@ -178,10 +178,10 @@
             calls=[CallInFlight(call.endpoint, call.attempts) for call in policy.calls],
         )
 
-    def defer_finals(self, numbers: list[int]) -> bool:
-        """Return whether the record that discovery accepted these final answers is deferred.
+    def defer_notice_records(self, numbers: list[int]) -> bool:
+        """During a handover, defer the record that discovery accepted these final answers.
 
-        During a handover it is written only if this process serves on.
+        It is then written only if this process serves on. Returns whether the record is deferred.
         """
         if not self._server.events.paused:
             return False
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -173,21 +173,21 @@
         self.journal.acquire()
         return await self.begin_serving()
 
-    async def begin_serving(self, handed_over: HandoverState | None = None) -> int:
+    async def begin_serving(self, handover: HandoverState | None = None) -> int:
         """Restore the messages, run the first tick, then accept clients; return the port.
 
-        This process must own the journal. ``handed_over`` is the state that an old process handed over, None
+        This process must own the journal. ``handover`` is the state that an old process handed over, None
         if there was no handover.
         """
         self.submissions.last_number = self.journal.last_number
-        transferred_numbers = self.transfer.import_state(handed_over.state) if handed_over else frozenset()
+        transferred_numbers = self.transfer.import_state(handover.state) if handover else frozenset()
         for uid in self.journal.cordoned:
             if uid in self.directory.numbers:
                 self.events.add_without_tick(EndpointCordoned(self.directory.numbers[uid]))
         for message in list(self.journal.messages.values()):
             self._restore_message(message, message.number in transferred_numbers)
         self.policy_runner.run()
-        port = await self._listen(handed_over)
+        port = await self._listen(handover)
         self.lifecycle.serving = True
         return port
 
@@ -202,16 +202,16 @@
             self.events.add_without_tick(submitted_event(message, restored=True))
         self.answers.start_deadline_timer(message)
 
-    async def _listen(self, handed_over: HandoverState | None) -> int:
+    async def _listen(self, handover: HandoverState | None) -> int:
         descriptor = self.configuration.listen_fd
-        if handed_over and handed_over.listener_fd is not None:
+        if handover and handover.listener_fd is not None:
             if descriptor < 0:
-                descriptor = handed_over.listener_fd
+                descriptor = handover.listener_fd
             else:
-                os.close(handed_over.listener_fd)
+                os.close(handover.listener_fd)
         address = self.configuration.listen_address
         port = await self.clients.listen(address.host, address.port, descriptor)
-        for client in handed_over.clients if handed_over else ():
+        for client in handover.clients if handover else ():
             self.clients.adopt(client.descriptor, client.state)
         return port
 
@@ -254,7 +254,7 @@
         self.attempts.next_attempts.pop(number, None)
 
     def _notices_accepted(self, numbers: list[int]) -> None:
-        if self.transfer.defer_finals(numbers):
+        if self.transfer.defer_notice_records(numbers):
             return
         self.answers.record_notices_accepted(numbers)
         self.lifecycle.exit_if_done()
