--- a/message_relay/server/attempt_runner.py
+++ b/message_relay/server/attempt_runner.py
@@ -153,7 +153,7 @@
         """Count the messages of a call that was written completely."""
         self._metrics.record_attempts_written(message_count)
 
-    def attempts_starting(self, attempts: list[CallAttempt]) -> bool:
+    def record_starting_attempts(self, attempts: list[CallAttempt]) -> bool:
         """Record the attempts just before they are written; return False if they must not be written.
 
         They must not be written if a message is completed, if the window of its idempotency key has passed,
--- a/message_relay/server/endpoint_calls/attempt.py
+++ b/message_relay/server/endpoint_calls/attempt.py
@@ -52,7 +52,7 @@
         """Record that the last byte of a request with this number of messages was written."""
         ...
 
-    def attempts_starting(self, attempts: list[CallAttempt]) -> bool:
+    def record_starting_attempts(self, attempts: list[CallAttempt]) -> bool:
         """Record the attempts before their request is sent; return False if it must not be sent."""
         ...
 
--- a/message_relay/server/endpoint_calls/client.py
+++ b/message_relay/server/endpoint_calls/client.py
@@ -217,7 +217,7 @@
             return False
         if not self.observer.may_write(call.endpoint):
             return False
-        return call.health_check or self.observer.attempts_starting(call.attempts)
+        return call.health_check or self.observer.record_starting_attempts(call.attempts)
 
     # End of a call
 
--- a/message_relay/server/hot_restart/state_transfer.py
+++ b/message_relay/server/hot_restart/state_transfer.py
@@ -77,7 +77,7 @@
         """Count a call whose last byte was written after the handover began."""
         self._attempts.call_written(message_count)
 
-    def attempts_starting(self, attempts: list[CallAttempt]) -> bool:
+    def record_starting_attempts(self, attempts: list[CallAttempt]) -> bool:
         """Return False: no further attempt is started."""
         return False
 
--- a/message_relay/server/process.py
+++ b/message_relay/server/process.py
@@ -27,7 +27,9 @@
     loop = asyncio.get_running_loop()
     server = RelayServer(loop, configuration)
     console = AdminConsole(server.operations)
-    reloader = ConfigurationReloader(loop, os.environ, server.move_discovery, server.metrics.record_reload)
+    reloader = ConfigurationReloader(
+        loop, os.environ, server.change_discovery_address, server.metrics.record_reload
+    )
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)  # without a handler it ends the process
     loop.add_signal_handler(signal.SIGTERM, server.lifecycle.shut_down)
     loop.add_signal_handler(signal.SIGINT, server.lifecycle.shut_down)
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -212,7 +212,7 @@
         address = self.configuration.listen_address
         port = await self.clients.listen(address.host, address.port, descriptor)
         for client in handover.clients if handover else ():
-            self.clients.adopt(client.descriptor, client.state)
+            self.clients.import_connection(client.descriptor, client.state)
         return port
 
     # Discovery
@@ -231,8 +231,8 @@
             if self.directory.uids.get(entry.endpoint) in self.journal.cordoned:
                 self.events.add(EndpointCordoned(entry.endpoint))
 
-    def move_discovery(self, address: Address) -> None:
-        """Move the endpoint watch and the notices to another address of discovery."""
+    def change_discovery_address(self, address: Address) -> None:
+        """Change the address of discovery that the endpoint watch and the notices use."""
         if address != self.watch.address:
             log.info("discovery address changed: address=%s:%d", *address)
             self.watch.change_address(address)
--- a/message_relay/server/resp/server.py
+++ b/message_relay/server/resp/server.py
@@ -93,7 +93,7 @@
         for connection in list(self.connections):
             connection.resume()
 
-    def adopt(self, fd: int, state: list[Any]) -> None:
+    def import_connection(self, fd: int, state: list[Any]) -> None:
         """Continue a connection of another process, given its descriptor and the exported state."""
         sock = socket.socket(fileno=fd)
         sock.setblocking(False)
--- a/tests/test_endpoint_calls.py
+++ b/tests/test_endpoint_calls.py
@@ -34,7 +34,7 @@
     def call_written(self, message_count):
         self.written.append(message_count)
 
-    def attempts_starting(self, attempts):
+    def record_starting_attempts(self, attempts):
         self.started += [attempt.message_id for attempt in attempts]
         return True
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -57,7 +57,7 @@
         await asyncio.sleep(0.01)
     new_discovery = await Discovery().start()
     new_discovery.targets = fleet.discovery.targets
-    fleet.relay.move_discovery(Address("127.0.0.1", new_discovery.port))
+    fleet.relay.change_discovery_address(Address("127.0.0.1", new_discovery.port))
     assert await new_discovery.final() == {"id": "u1", "status": "undeliverable"}
     await bounded(new_discovery.watches.get())
     await new_discovery.stop()
