--- a/message_relay/model/__init__.py
+++ b/message_relay/model/__init__.py
@@ -1,6 +1,6 @@
-"""Vocabulary shared by the delivery policy and the process that hosts it.
+"""Vocabulary shared by the delivery policy and its caller.
 
-The host is the relay server, or the simulator adapter. It passes events to the policy and carries out the
+The caller is the relay server or the simulator adapter. It passes events to the policy and carries out the
 actions that the policy returns. Settings are fixed for the lifetime of a policy.
 """
 
--- a/message_relay/model/actions.py
+++ b/message_relay/model/actions.py
@@ -1,4 +1,4 @@
-"""Actions: requests of the policy that its host carries out, in the order of the list that a tick returns.
+"""Actions: requests of the policy that its caller carries out, in the order of the list that a tick returns.
 
 Fields ending in ``_us`` are microseconds. ``message`` and ``endpoint`` are the numbers under which an event
 introduced the message or the endpoint. RejectMessage and FailMessage are the two final answers that the
@@ -23,7 +23,7 @@
     # Time until the attempt ends as TIMEOUT, chosen for the connection that is expected to be used: a reused
     # one if the policy assumes an idle connection, else a new one.
     timeout_us: int
-    # Time-out to use instead if the host has to open a connection; 0: use timeout_us.
+    # Time-out to use instead if the caller has to open a connection; 0: use timeout_us.
     new_connection_timeout_us: int = 0
     require_new_connection: bool = False  # send on a new connection even if an idle one is available
 
--- a/message_relay/model/enums.py
+++ b/message_relay/model/enums.py
@@ -38,7 +38,7 @@
     TIMEOUT = "timeout"  # no response within the time-out
     CONNECT_FAILED = "connect_failed"  # no connection was established
     RESET = "reset"  # the connection broke before the response was complete
-    CANCELLED = "cancelled"  # the host stopped waiting for the response
+    CANCELLED = "cancelled"  # the caller stopped waiting for the response
     NOT_ATTEMPTED = "not_attempted"  # nothing was sent, or the destination reports that it did not process it
 
 
--- a/message_relay/model/events.py
+++ b/message_relay/model/events.py
@@ -1,4 +1,4 @@
-"""Events: input of the policy, passed to a tick in the order in which the host received them.
+"""Events: input of the policy, passed to a tick in the order in which the caller received them.
 
 Fields ending in ``_us`` are microseconds; points in time (``_at_us``, ``deadline_us``) are on the clock that
 is passed to ``DeliveryPolicy.handle``. Endpoints, destinations and messages are opaque numbers: equal numbers
--- a/message_relay/model/settings.py
+++ b/message_relay/model/settings.py
@@ -145,7 +145,7 @@
     # After an ambiguous failure, time before another message with the same order key is first attempted.
     order_key_pause_us: int = 0
     answer_slack_us: int = 0  # unused
-    # The host receives the endpoint list only while it has a subscription (SubscribeEndpointList).
+    # The caller receives the endpoint list only while it has a subscription (SubscribeEndpointList).
     endpoint_list_requires_subscription: bool = False
     rate_limits_advertised: bool = False  # EndpointEntry.rate_limit_per_s is a limit; False: it is ignored
     load_report_fields: tuple[str, ...] = ()  # names of LoadReportReceived.values, in the same order
