--- a/message_relay/simulator_adapter/settings_json.py
+++ b/message_relay/simulator_adapter/settings_json.py
@@ -51,9 +51,9 @@
     try:
         return _settings(raw)
     except KeyError as error:
-        raise MalformedSettingsError(f"required key {error.args[0]!r} is missing from the settings") from None
+        raise MalformedSettingsError(f"required key {error.args[0]!r} is missing") from None
     except (TypeError, AttributeError) as error:
-        raise MalformedSettingsError(f"settings contain a value of the wrong type: {error}") from None
+        raise MalformedSettingsError(f"value of the wrong type: {error}") from None
 
 
 def _message_class(raw: dict[str, Any], number: int) -> MessageClass:
