--- a/message_relay/policy/admission.py
+++ b/message_relay/policy/admission.py
@@ -24,15 +24,15 @@
     """Queue a new message, or send its final answer if it is rejected or has no attempt left."""
     if event.message in state.messages:
         return
-    state.sequence += 1
+    state.last_sequence += 1
     if event.resubmitted:
         state.rejections_since_resubmission = 0
     message_class, destination = (
         state.settings.classes[event.message_class],
         state.destination(event.destination),
     )
-    message = Message.submitted(event, message_class, destination, state.sequence, state.now_us)
-    destination.arrivals += 1
+    message = Message.submitted(event, message_class, destination, state.last_sequence, state.now_us)
+    destination.submitted_messages += 1
     for group in destination.groups:
         slow_start.credit_new_message(state, group)
     message.weight = message_class.priority_weight * _tenant_weight_factor(state, event.tenant)
@@ -59,8 +59,8 @@
 def _log_capacity(state: PolicyState) -> None:
     capacity_reached = len(state.messages) >= state.settings.max_open_messages - 1
     capacity_available = len(state.messages) < state.settings.max_open_messages * CAPACITY_FREE_SHARE
-    if capacity_reached != state.capacity_full and (capacity_reached or capacity_available):
-        state.capacity_full = capacity_reached
+    if capacity_reached != state.capacity_reached_logged and (capacity_reached or capacity_available):
+        state.capacity_reached_logged = capacity_reached
         slots = f"in_flight={state.in_flight} slots={state.settings.call_slots}"
         state.log(f"{'capacity reached' if capacity_reached else 'capacity available'}, {slots}")
 
@@ -86,7 +86,7 @@
         backlog = len(destination.queue) - sum(rate_limiter.tokens(state, group) for group in groups)
         return float(backlog / rate * 1e6 > MAX_QUEUE_DELAY_SHARE * remaining_us)
     # For groups without calls so far: that of the destination type, squared so that a low one counts little.
-    type_rejection_rate = state.statistics.rejection_rates[destination.type_index] ** 2
+    type_rejection_rate = state.statistics.rejection_rate_by_type[destination.type_index] ** 2
     rejection_rates_of_groups = [
         group.rejection_rate if group.rejection_rate or group.last_success_at_us else type_rejection_rate
         for group in groups
--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -25,13 +25,13 @@
 # Added to each Retry-After, which arrives truncated to milliseconds: no call is sent just before its end.
 RETRY_AFTER_ROUNDING_US = 1_000
 # Results that prove that the message was not applied.
-NOT_APPLIED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_ATTEMPTED)
+RESULTS_NOT_APPLIED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_ATTEMPTED)
 
 
 def dispatch(state: PolicyState) -> None:
     """Send the queued messages that may be sent, the most urgent first, while slots are free."""
     waiting = (destination for destination in state.destinations.values() if destination.queue)
-    selected = {d.number: candidate for d in waiting if (candidate := selection.select(state, d))}
+    selected = {d.id: candidate for d in waiting if (candidate := selection.select(state, d))}
     while selected and state.in_flight < state.settings.call_slots:
         number = min(selected, key=lambda n: selected[n].order)
         candidate = selected.pop(number)
@@ -45,7 +45,7 @@
 def _send_call(state: PolicyState, message: Message, endpoint: Endpoint) -> None:
     group, circuit = endpoint.group, endpoint.circuit
     call = Call(endpoint, state.now_us, endpoint_was_idle=not endpoint.in_flight)
-    state.count_in_flight(call, 1)
+    state.add_calls_in_flight(call, 1)
     endpoint.in_flight[id(call)] = call
     non_idempotent = message.message_class.idempotency is model.Idempotency.NON_IDEMPOTENT
     call.require_new_connection = non_idempotent and connection_reuse.reused_connections_reset_more_often(
@@ -70,17 +70,17 @@
     """
     endpoint, now = call.endpoint, state.now_us
     oldest_reusable_us = now - state.statistics.idle_reuse_limit_us
-    if endpoint.idle_since_us and not call.require_new_connection:
-        newest_us = endpoint.idle_since_us[-1]
+    if endpoint.idle_connections_since_us and not call.require_new_connection:
+        newest_us = endpoint.idle_connections_since_us[-1]
         if newest_us > oldest_reusable_us:
             call.connection_idle_us = now - newest_us
         elif newest_us > now - state.settings.connection_idle_timeout_us:
             state.actions.append(model.CloseIdleConnections(endpoint.id))
-    endpoint.idle_since_us = [
-        since_us for since_us in endpoint.idle_since_us if since_us > oldest_reusable_us
+    endpoint.idle_connections_since_us = [
+        since_us for since_us in endpoint.idle_connections_since_us if since_us > oldest_reusable_us
     ]
     if not call.require_new_connection:
-        endpoint.idle_since_us = endpoint.idle_since_us[:-1]
+        endpoint.idle_connections_since_us = endpoint.idle_connections_since_us[:-1]
 
 
 def _start_attempt(state: PolicyState, message: Message, call: Call) -> None:
@@ -110,10 +110,10 @@
     ambiguous = event.result in (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
     if ambiguous and message.order_key and state.settings.order_key_pause_us:
         state.order_pauses[message.order_key] = state.now_us + state.settings.order_key_pause_us
-    if message.closed or event.message_ended or message.streaming:
+    if message.closed or event.message_ended or message.response_started:
         state.close_message(message)
         return
-    if event.result not in NOT_APPLIED and message.possibly_applied_at_us < 0:
+    if event.result not in RESULTS_NOT_APPLIED and message.possibly_applied_at_us < 0:
         message.possibly_applied_at_us, message.possibly_applied_zone = call.sent_at_us, call.endpoint.zone
     if not message.in_flight:
         _retry_or_finish(state, message, call, event)
@@ -124,14 +124,14 @@
     if event.new_connection is not None and event.new_connection != (call.connection_idle_us < 0):
         call.connection_idle_us = -1 if event.new_connection else 0
         if event.new_connection:  # the server had no idle connection, contrary to this record
-            endpoint.idle_since_us.clear()
+            endpoint.idle_connections_since_us.clear()
     if call.open_attempts:
         return
-    state.count_in_flight(call, -1)
+    state.add_calls_in_flight(call, -1)
     endpoint.in_flight.pop(id(call), None)
     if event.result in (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED):
         if state.statistics.idle_reuse_limit_us or endpoint.group.destination.queue:
-            endpoint.idle_since_us.append(state.now_us)
+            endpoint.idle_connections_since_us.append(state.now_us)
         else:
             state.actions.append(model.CloseIdleConnections(endpoint.id))
 
@@ -179,6 +179,6 @@
     else:
         if last_start_us < message.deadline_us - state.deadline_margin_us:
             state.schedule_expiry(last_start_us, message)
-        message.ready_at_us = state.now_us + wait_us
-        message.fast_retry = message.attempts == 1 and event.latency_us < FAST_FAILURE_US
+        message.next_attempt_at_us = state.now_us + wait_us
+        message.fast_retry_allowed = message.attempts == 1 and event.latency_us < FAST_FAILURE_US
         message.destination.queue.append(message)
--- a/message_relay/policy/selection.py
+++ b/message_relay/policy/selection.py
@@ -86,9 +86,12 @@
 
     Always False in a small fleet without a recovery budget in force: there a retry needs no token.
     """
-    if not state.large_fleet and all(group.recovery.since_us < 0 for group in destination.groups):
+    if not state.large_fleet and all(group.recovery.limited_since_us < 0 for group in destination.groups):
         return False
-    return any(message.fast_retry and message.ready_at_us <= state.now_us for message in destination.queue)
+    return any(
+        message.fast_retry_allowed and message.next_attempt_at_us <= state.now_us
+        for message in destination.queue
+    )
 
 
 def _weight_change_by_waiting(state: PolicyState, destination: Destination) -> functools.partial[float]:
@@ -165,7 +168,7 @@
     low failure rate, a reusable idle connection, low cost, few calls in flight.
     """
     oldest_reusable_us = state.now_us - state.statistics.idle_reuse_limit_us
-    reusable = any(since_us > oldest_reusable_us for since_us in endpoint.idle_since_us)
+    reusable = any(since_us > oldest_reusable_us for since_us in endpoint.idle_connections_since_us)
     if state.large_fleet:  # random, with probabilities in proportion to the endpoints' rates
         group = endpoint.group
         rate = (group.advertised_rate_per_s or 1.0) * (REJECTION_RATE_OFFSET - group.rejection_rate)
--- a/message_relay/policy_snapshot/snapshots.py
+++ b/message_relay/policy_snapshot/snapshots.py
@@ -11,9 +11,9 @@
 class InstanceSnapshot(NamedTuple):
     """State of the instance as such: counters, quotas and call statistics. Fields as in PolicyState."""
 
-    sequence: int
+    last_sequence: int
     rejections_since_resubmission: int
-    capacity_full: bool
+    capacity_reached_logged: bool
     quotas: list[TenantQuota]
     started_at_us: int
     statistics: CallStatistics
@@ -23,7 +23,7 @@
         quotas = [
             [quota.rate_per_s, quota.bucket.tokens, quota.bucket.updated_at_us] for quota in self.quotas
         ]
-        return [self.sequence, self.rejections_since_resubmission, self.capacity_full, quotas]
+        return [self.last_sequence, self.rejections_since_resubmission, self.capacity_reached_logged, quotas]
 
     def statistics_values(self) -> Values:
         """Return the start time and the statistics, in the order in which they are sent."""
@@ -31,47 +31,47 @@
         return [
             self.started_at_us,
             statistics.idle_reuse_limit_us,
-            statistics.rejection_rates,
-            statistics.lost_idle_calls,
+            statistics.rejection_rate_by_type,
+            statistics.calls_lost_on_reuse,
             statistics.slot_occupancy_us,
             statistics.lost_call_rate,
             statistics.connection_setup_us,
             statistics.connection_setup_deviation_us,
-            [statistics.unanswered_rates.new, statistics.unanswered_rates.reused],
+            [statistics.timeout_rates.new, statistics.timeout_rates.reused],
             [statistics.reset_rates.new, statistics.reset_rates.reused],
         ]
 
     @classmethod
     def from_values(cls, instance: Values, statistics: Values) -> InstanceSnapshot:
         """Return the snapshot from the lists that instance_values and statistics_values returned."""
-        sequence, rejections_since_resubmission, capacity_full, quotas = instance
+        last_sequence, rejections_since_resubmission, capacity_reached_logged, quotas = instance
         (
             started_at_us,
             idle_reuse_limit_us,
-            rejection_rates,
-            lost_idle_calls,
+            rejection_rate_by_type,
+            calls_lost_on_reuse,
             slot_occupancy_us,
             lost_call_rate,
             connection_setup_us,
             connection_setup_deviation_us,
-            unanswered_rates,
+            timeout_rates,
             reset_rates,
         ) = statistics
         return cls(
-            sequence,
+            last_sequence,
             rejections_since_resubmission,
-            capacity_full,
+            capacity_reached_logged,
             [TenantQuota(rate, TokenBucket(tokens, at_us)) for rate, tokens, at_us in quotas],
             started_at_us,
             CallStatistics(
                 idle_reuse_limit_us=idle_reuse_limit_us,
-                rejection_rates=rejection_rates,
-                lost_idle_calls=lost_idle_calls,
+                rejection_rate_by_type=rejection_rate_by_type,
+                calls_lost_on_reuse=calls_lost_on_reuse,
                 slot_occupancy_us=slot_occupancy_us,
                 lost_call_rate=lost_call_rate,
                 connection_setup_us=connection_setup_us,
                 connection_setup_deviation_us=connection_setup_deviation_us,
-                unanswered_rates=ConnectionRates(*unanswered_rates),
+                timeout_rates=ConnectionRates(*timeout_rates),
                 reset_rates=ConnectionRates(*reset_rates),
             ),
         )
@@ -87,9 +87,9 @@
 class DestinationSnapshot(NamedTuple):
     """A destination with its endpoint groups. Fields as in Destination."""
 
-    number: int
+    id: int
     type_index: int
-    arrivals: int
+    submitted_messages: int
     groups: list[GroupSnapshot]
 
 
@@ -144,9 +144,9 @@
             "health": self.instance.statistics_values(),
             "dests": [
                 [
-                    destination.number,
+                    destination.id,
                     destination.type_index,
-                    destination.arrivals,
+                    destination.submitted_messages,
                     [[group.endpoints, group.values] for group in destination.groups],
                 ]
                 for destination in self.destinations
@@ -169,8 +169,10 @@
             attempts=wire["tries"],
             instance=InstanceSnapshot.from_values(wire["courier"], wire["health"]),
             destinations=[
-                DestinationSnapshot(number, type_index, arrivals, [GroupSnapshot(*group) for group in groups])
-                for number, type_index, arrivals, groups in wire["dests"]
+                DestinationSnapshot(
+                    number, type_index, submitted_messages, [GroupSnapshot(*group) for group in groups]
+                )
+                for number, type_index, submitted_messages, groups in wire["dests"]
             ],
             endpoints=[EndpointSnapshot(*values) for values in wire["endpoints"]],
             messages=[MessageSnapshot(*values) for values in wire["messages"]],
--- a/message_relay/policy_state/entities.py
+++ b/message_relay/policy_state/entities.py
@@ -75,7 +75,7 @@
     cordoned: bool = False  # an operator excluded it from new calls
     in_flight: dict[int, Call] = field(default_factory=dict)  # by id(call), oldest call first
     # For each idle connection the time at which it became idle, oldest first.
-    idle_since_us: list[int] = field(default_factory=list)
+    idle_connections_since_us: list[int] = field(default_factory=list)
     failure_rate: float = 0.0  # share of failed calls, used to rank endpoints
     # Share of calls that failed after the message may have been applied, as of ambiguous_failure_at_us; it
     # fades with time (outlier_detection.ambiguous_failure_rate).
@@ -96,9 +96,9 @@
     Used in small fleets only (``policy.recovery_budget``).
     """
 
-    since_us: int = -1  # start of the limit, -1 if there is none
+    limited_since_us: int = -1  # start of the limit, -1 if there is none
     failures: int = 0  # failures since then
-    rate_per_s: float = 0.0  # rate of calls to the group when the limit began
+    initial_traffic_per_s: float = 0.0  # traffic share of the instance when the limit began
     bucket: TokenBucket = field(default_factory=lambda: TokenBucket(0.0))  # calls that are allowed now
 
 
@@ -118,12 +118,12 @@
     last_rejected_rate_per_s: float = 0.0  # rate at the last rejection; near it the rate limit grows slowly
     bucket: TokenBucket = field(default_factory=TokenBucket)  # calls that the rate limit allows now
     retry_after_until_us: int = 0  # no call is sent before this time
-    rate_cut_until_us: int = 0  # rejections before this time belong to the same overload: no further rate cut
+    next_rate_cut_at_us: int = 0  # no cut before this time: rejections until then belong to the last overload
     rejection_rate: float = 0.0  # share of calls rejected because of overload
     concurrency_window: float = 1.0  # upper bound of calls in flight, rounded down
     in_flight: int = 0  # calls in flight
     # Overloads since the last success, from which the backoff follows if there is no Retry-After.
-    consecutive_rejections: int = 0
+    consecutive_overloads: int = 0
     latency_mean_us: float = 0.0  # of successful calls, 0 until there was one
     latency_deviation_us: float = 0.0  # mean deviation from latency_mean_us
     # Mean time for which a call uses a slot; failed calls count, rejected ones do not.
@@ -144,12 +144,12 @@
 class Destination:
     """Receiver of messages: its endpoint groups and the messages that wait to be sent to it."""
 
-    number: int  # the number that events use for it
+    id: int  # the number that events use for it
     type_index: int = 0  # index in Settings.destination_types
     groups: list[EndpointGroup] = field(default_factory=list)
     queue: list[Message] = field(default_factory=list)  # open messages without an attempt in flight
     in_flight: int = 0  # calls in flight
-    arrivals: int = 0  # messages submitted so far, from which its traffic is estimated
+    submitted_messages: int = 0  # messages submitted so far, from which its traffic is estimated
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -177,15 +177,16 @@
     deadline_us: int
     submitted_at_us: int  # the deadline less the deadline of the class
     destination: Destination
-    ready_at_us: int  # no attempt starts before this time (backoff)
+    next_attempt_at_us: int  # no attempt starts before this time (backoff)
     attempts: int = 0  # attempts started, those before a restart included
     in_flight: int = 0  # attempts in flight
     possibly_applied_at_us: int = -1  # start of the first attempt that may have been applied, -1 if none
     possibly_applied_zone: int = -1  # zone of that attempt's endpoint, -1 if unknown
     last_endpoint: Endpoint | None = None  # endpoint of the last attempt
     closed: bool = False  # no final answer is needed any more; only outcomes of attempts are awaited
-    streaming: bool = False  # the client receives a response: no further attempt, no expiry
-    fast_retry: bool = False  # its first attempt failed fast: its next one is exempt from the recovery limits
+    response_started: bool = False  # the client receives a response: no further attempt, no expiry
+    # Its first attempt failed fast: its next one is exempt from the recovery limits.
+    fast_retry_allowed: bool = False
     weight: float = 1.0  # class weight, reduced if the tenant is over its quota
     restored: bool = False  # accepted before a restart
 
@@ -207,7 +208,7 @@
             deadline_us=event.deadline_us,
             submitted_at_us=event.deadline_us - message_class.deadline_us,
             destination=destination,
-            ready_at_us=now_us,
+            next_attempt_at_us=now_us,
             attempts=event.attempts,
             possibly_applied_at_us=event.possibly_applied_at_us,
             possibly_applied_zone=event.possibly_applied_zone,
@@ -241,12 +242,12 @@
     """Statistics over the calls to all endpoints."""
 
     idle_reuse_limit_us: int  # longest idle time after which a connection is still reused
-    rejection_rates: list[float]  # share of calls rejected because of overload, by destination type
+    rejection_rate_by_type: list[float]  # share of calls rejected because of overload, by destination type
     lost_call_rate: float  # share of calls without a response from an endpoint that answers other calls
-    lost_idle_calls: int = 0  # calls lost on idle connections since idle_reuse_limit_us was last raised
+    calls_lost_on_reuse: int = 0  # calls lost on reused connections since idle_reuse_limit_us was last raised
     # Mean time for which a call uses a slot; failed calls count, rejected ones do not.
     slot_occupancy_us: float = INITIAL_SLOT_OCCUPANCY_US
     connection_setup_us: float = 0.0  # mean extra latency of the first call on a connection, 0: not measured
     connection_setup_deviation_us: float = 0.0  # mean deviation from connection_setup_us
-    unanswered_rates: ConnectionRates = field(default_factory=ConnectionRates)  # calls that timed out
+    timeout_rates: ConnectionRates = field(default_factory=ConnectionRates)  # calls that timed out
     reset_rates: ConnectionRates = field(default_factory=ConnectionRates)  # calls whose connection was reset
--- a/message_relay/server/hot_restart/state_transfer.py
+++ b/message_relay/server/hot_restart/state_transfer.py
@@ -77,7 +77,7 @@
         """Count a call whose last byte was written after the handover began."""
         self._attempts.call_written(message_count)
 
-    def attempts_starting(self, attempts: list[CallAttempt]) -> bool:
+    def record_starting_attempts(self, attempts: list[CallAttempt]) -> bool:
         """Return False: no further attempt is started."""
         return False
 
@@ -178,10 +178,10 @@
             calls=[CallInFlight(call.endpoint, call.attempts) for call in policy.calls],
         )
 
-    def defer_finals(self, numbers: list[int]) -> bool:
-        """Return whether the record that discovery accepted these final answers is deferred.
+    def defer_notice_records(self, numbers: list[int]) -> bool:
+        """During a handover, defer the record that discovery accepted these final answers.
 
-        During a handover it is written only if this process serves on.
+        It is then written only if this process serves on. Returns whether the record is deferred.
         """
         if not self._server.events.paused:
             return False
