--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -45,7 +45,7 @@
 def _send_call(state: PolicyState, message: Message, endpoint: Endpoint) -> None:
     group, circuit = endpoint.group, endpoint.circuit
     call = Call(endpoint, state.now_us, endpoint_was_idle=not endpoint.in_flight)
-    state.add_calls_in_flight(call, 1)
+    state.change_calls_in_flight(call, 1)
     endpoint.in_flight[id(call)] = call
     non_idempotent = message.message_class.idempotency is model.Idempotency.NON_IDEMPOTENT
     call.require_new_connection = non_idempotent and connection_reuse.reused_connections_reset_more_often(
@@ -127,7 +127,7 @@
             endpoint.idle_connections_since_us.clear()
     if call.open_attempts:
         return
-    state.add_calls_in_flight(call, -1)
+    state.change_calls_in_flight(call, -1)
     endpoint.in_flight.pop(id(call), None)
     if event.result in (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED):
         if state.statistics.idle_reuse_limit_us or endpoint.group.destination.queue:
--- a/message_relay/policy/circuit_breaker.py
+++ b/message_relay/policy/circuit_breaker.py
@@ -86,16 +86,17 @@
     circuit.failure_rate = min(circuit.failure_rate, MAX_FAILURE_RATE_AFTER_CLOSING)
 
 
-def half_open_attempt_allowed(state: PolicyState, circuit: CircuitBreaker, fast_retry: bool) -> bool:
+def half_open_attempt_allowed(state: PolicyState, circuit: CircuitBreaker, fast_retry_ready: bool) -> bool:
     """Return whether an endpoint with an open circuit may get a half-open attempt now.
 
-    In a large fleet it needs a token, unless ``fast_retry`` is true. In a small one it needs the half-open
-    interval to have passed; if it has not, a tick is scheduled for its end.
+    None is allowed while another one is in flight. In a large fleet the attempt needs a token, unless
+    ``fast_retry_ready`` is true. In a small one the half-open interval must have passed; if it has not, a
+    tick is scheduled for its end.
     """
     if circuit.half_open_call is not None:
         return False
     if state.large_fleet:
-        return circuit.bucket.tokens >= 1.0 or fast_retry
+        return circuit.bucket.tokens >= 1.0 or fast_retry_ready
     if state.now_us < circuit.half_open_at_us:
         state.schedule_tick(circuit.half_open_at_us)
         return False
--- a/message_relay/policy/eligibility.py
+++ b/message_relay/policy/eligibility.py
@@ -26,11 +26,11 @@
 MIN_ROUND_TRIPS_TO_WAIT = 4  # with less time until the deadline, a message is no longer deferred
 
 
-def endpoint_admits(state: PolicyState, endpoint: Endpoint, fast_retry: bool = False) -> bool:
+def endpoint_admits(state: PolicyState, endpoint: Endpoint, fast_retry_ready: bool = False) -> bool:
     """Return whether the endpoint may get a call, apart from slots and concurrency windows.
 
-    ``fast_retry`` is true if a message that failed fast is ready: it needs no token of the recovery budget,
-    nor, in a large fleet, of an open circuit.
+    ``fast_retry_ready`` is true if a message whose first attempt failed fast is ready for its retry. The
+    retry needs no token of the recovery budget and, in a large fleet, none of an open circuit.
     """
     group, now, circuit = endpoint.group, state.now_us, endpoint.circuit
     out_of_service = endpoint.cordoned or endpoint.state is not EndpointState.READY
@@ -40,10 +40,10 @@
         state.schedule_tick(group.retry_after_until_us)
         return False
     in_recovery = group.recovery.limited_since_us >= 0
-    if in_recovery and (wait_us := recovery_budget.wait_us(state, group)) and not fast_retry:
+    if in_recovery and (wait_us := recovery_budget.wait_us(state, group)) and not fast_retry_ready:
         state.schedule_tick(now + wait_us)
         return False
-    if circuit.open and not circuit_breaker.half_open_attempt_allowed(state, circuit, fast_retry):
+    if circuit.open and not circuit_breaker.half_open_attempt_allowed(state, circuit, fast_retry_ready):
         return False
     if circuit.slow_start_since_us >= 0 and (wait_us := slow_start.wait_us(state, endpoint)):
         state.schedule_tick(now + wait_us)
--- a/message_relay/policy/rate_limiter.py
+++ b/message_relay/policy/rate_limiter.py
@@ -81,9 +81,9 @@
 
     The wait is the Retry-After in microseconds, or a backoff with jitter if that is 0. No tokens accrue then.
     """
-    if state.now_us >= group.next_rate_cut_at_us:
+    if state.now_us >= group.rate_cut_blocked_until_us:
         round_trip_us = max(int(group.latency_mean_us), 2 * state.settings.tick_interval_us)
-        group.next_rate_cut_at_us = state.now_us + round_trip_us
+        group.rate_cut_blocked_until_us = state.now_us + round_trip_us
         concurrency_window.halve(group)
         _decrease_rate(state, group)
         group.consecutive_overloads += 1
@@ -129,7 +129,7 @@
     rejection: with equal steps, one call in ten was rejected. In a large fleet the rate limit is removed when
     the last cut is REJECTION_EXPIRY_US ago and the queue is empty.
     """
-    rate, since_cut_allowed_us = group.rate_limit_per_s, state.now_us - group.next_rate_cut_at_us
+    rate, since_cut_allowed_us = group.rate_limit_per_s, state.now_us - group.rate_cut_blocked_until_us
     if not rate:
         return
     near_rejected_rate = rate >= NEAR_REJECTED_RATE_SHARE * group.last_rejected_rate_per_s
--- a/message_relay/policy/selection.py
+++ b/message_relay/policy/selection.py
@@ -45,13 +45,13 @@
     """
     if concurrency_window.slots_exhausted(state, destination):
         return None
-    fast_retry = _fast_retry_ready(state, destination)
+    fast_retry_ready = _fast_retry_ready(state, destination)
     admitting_endpoints = [
         endpoint
         for group in destination.groups
         if not concurrency_window.is_full(group)
         for endpoint in group.endpoints.values()
-        if endpoint_admits(state, endpoint, fast_retry)
+        if endpoint_admits(state, endpoint, fast_retry_ready)
     ]
     if not admitting_endpoints:
         return None
--- a/message_relay/policy/slow_start.py
+++ b/message_relay/policy/slow_start.py
@@ -94,7 +94,7 @@
 def wait_us(state: PolicyState, endpoint: Endpoint) -> int:
     """Return the microseconds until an endpoint in slow start may get its next call, 0 if it may now."""
     circuit, group = endpoint.circuit, endpoint.group
-    sharing_endpoints = 1 if state.large_fleet else group.endpoints_in_use()
+    sharing_endpoints = 1 if state.large_fleet else group.count_ready_closed_circuits()
     min_rate = MIN_RATE_LARGE_FLEET_PER_S if state.large_fleet else MIN_RATE_PER_S
     # An instance that starts during an outage measures no traffic: its target rate is below one advertised
     # since.
--- a/message_relay/policy_snapshot/transfer.py
+++ b/message_relay/policy_snapshot/transfer.py
@@ -183,7 +183,7 @@
     endpoint.in_flight[id(call)] = call
     if captured.half_open:
         endpoint.circuit.half_open_call = call
-    state.add_calls_in_flight(call, 1)
+    state.change_calls_in_flight(call, 1)
     for number, attempt in captured.attempts:
         message = state.messages[number]
         state.calls[(number, attempt)] = (call, message)
--- a/message_relay/policy_state/entities.py
+++ b/message_relay/policy_state/entities.py
@@ -118,7 +118,8 @@
     last_rejected_rate_per_s: float = 0.0  # rate at the last rejection; near it the rate limit grows slowly
     bucket: TokenBucket = field(default_factory=TokenBucket)  # calls that the rate limit allows now
     retry_after_until_us: int = 0  # no call is sent before this time
-    next_rate_cut_at_us: int = 0  # no cut before this time: rejections until then belong to the last overload
+    # The rate limit is not cut again before this time: rejections until then belong to the last overload.
+    rate_cut_blocked_until_us: int = 0
     rejection_rate: float = 0.0  # share of calls rejected because of overload
     concurrency_window: float = 1.0  # upper bound of calls in flight, rounded down
     in_flight: int = 0  # calls in flight
@@ -133,7 +134,7 @@
     last_success_at_us: int = 0  # 0: none
     recovery: RecoveryBudget = field(default_factory=RecoveryBudget)
 
-    def endpoints_in_use(self) -> int:
+    def count_ready_closed_circuits(self) -> int:
         """Return the number of endpoints that are ready and whose circuit is closed."""
         return sum(
             1 for e in self.endpoints.values() if e.state is EndpointState.READY and not e.circuit.open
--- a/message_relay/policy_state/state.py
+++ b/message_relay/policy_state/state.py
@@ -95,7 +95,7 @@
         """Check at that time whether the message has expired (``policy.final_answer.expire``)."""
         heapq.heappush(self.expiries, (at_us, message.id))
 
-    def add_calls_in_flight(self, call: Call, change: int) -> None:
+    def change_calls_in_flight(self, call: Call, change: int) -> None:
         """Add ``change`` (1 or -1) to the numbers of calls in flight that include the call."""
         group = call.endpoint.group
         self.in_flight += change
