--- a/message_relay/model/events.py
+++ b/message_relay/model/events.py
@@ -55,7 +55,7 @@
     restored: bool = False
     # The next three are set for a restored message. The last two are also set if an earlier message had the
     # same idempotency key.
-    attempts: int = 0  # attempts that were started before
+    attempts: int = 0  # attempts that were started before the restart
     possibly_applied_at_us: int = -1  # start of the first attempt that may have been applied, -1 if none
     possibly_applied_zone: int = -1  # zone of that attempt's endpoint, -1 if unknown
 
@@ -82,7 +82,7 @@
     endpoint: int
     result: AttemptResult
     latency_us: int  # time from the start of the attempt to its outcome
-    message_ended: bool = False  # the message has its final answer: the policy closes it
+    message_ended: bool = False  # the message needs no further attempt and no final answer: it is closed
     retry_after_us: int = 0  # Retry-After of the response, 0 if it had none
     new_connection: bool | None = None  # whether the attempt used a new connection; None: unknown
     malformed: bool = False  # with ERROR: a response came, but it cannot be read
--- a/message_relay/model/settings.py
+++ b/message_relay/model/settings.py
@@ -33,9 +33,9 @@
 class MessageClass:
     """Delivery requirements that the messages of one class share.
 
-    The policy sends the messages first whose weight falls most while they wait. A message has its full weight
-    until its latency objective, less until its deadline (see Settings.late_weight_decays_exponentially), and
-    none after that.
+    The policy first sends the messages whose weight would fall most while they wait. A message has its full
+    weight until its latency objective, a falling one from then on (see
+    Settings.late_weight_decays_exponentially), and none from its deadline on.
     """
 
     name: str
--- a/message_relay/policy/admission.py
+++ b/message_relay/policy/admission.py
@@ -1,10 +1,10 @@
 """Admission control and load shedding.
 
 A new message is queued, or gets its final answer at once if no attempt is possible. When the number of open
-messages nears its limit, the longest queue loses the messages that are worth least. In a large fleet, new
-messages are also rejected unsent: if the queue is too long for the rate limit or, with no rate limit, at
+messages nears its limit, messages of the lowest weight are removed from the longest queue. In a large fleet,
+new messages are also rejected unsent: if the queue is too long for the rate limit or, with no rate limit, at
 random with the destination's share of rejected calls. An instance there sends too few calls to estimate a
-rate, but the random rejections of all instances add up.
+rate, but the random rejections of all instances add up to the required share.
 """
 
 import functools
@@ -76,9 +76,10 @@
     """Return the probability with which a new message is rejected unsent.
 
     If all groups have a rate limit, it is 1 or 0, by the queueing delay. Otherwise it is the share of calls
-    that the groups reject. Where rejected calls count against a destination's limit too, it rejects nearly
-    all calls once the fleet exceeds the limit, and resubmitted messages keep the load there. One instance
-    sends too few calls to estimate a rate, but the random rejections of all instances add up.
+    that the groups reject. A destination that counts rejected calls against its limit rejects nearly all
+    calls once the fleet exceeds the limit, and resubmitted messages keep the load above it. One instance
+    sends too few calls to estimate a rate, but the random rejections of all instances add up to the required
+    share.
     """
     groups = destination.groups
     if groups and all(group.rate_limit_per_s for group in groups):
--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -1,9 +1,9 @@
 """Dispatch of calls and handling of their outcomes.
 
 While call slots are free, the most urgent message of any destination is sent. When an attempt ends, its
-outcome updates the statistics of the endpoint and its group, and the message is finished, retried with full
-jitter, or removed. A call may carry a batch: its outcome is recorded once, with the first attempt whose
-result is conclusive for the call.
+outcome updates the statistics of the endpoint and its group, and the message is retried with full jitter,
+finished with a final answer, or closed without one. A call may carry a batch: its outcome is recorded once,
+with the first attempt whose result is conclusive for the call.
 """
 
 from message_relay import model
@@ -29,7 +29,10 @@
 
 
 def dispatch(state: PolicyState) -> None:
-    """Send the queued messages that may be sent, the most urgent first, while slots are free."""
+    """Send the queued messages that may be sent, the most urgent first, while slots are free.
+
+    A destination whose calls may carry batches gets at most one call in each tick.
+    """
     waiting = (destination for destination in state.destinations.values() if destination.queue)
     selected = {d.id: candidate for d in waiting if (candidate := selection.select(state, d))}
     while selected and state.in_flight < state.settings.call_slots:
@@ -84,17 +87,20 @@
 
 
 def _start_attempt(state: PolicyState, message: Message, call: Call) -> None:
-    reused_us, new_us = timeouts.attempt_timeouts_us(state, message, call)
+    reused_timeout_us, new_timeout_us = timeouts.attempt_timeouts_us(state, message, call)
     state.start_attempt(message, call)
-    expected_timeout_us = new_us if call.connection_idle_us < 0 else reused_us
+    timeout_us = new_timeout_us if call.connection_idle_us < 0 else reused_timeout_us
     action = model.SendAttempt(
-        message.id, call.endpoint.id, expected_timeout_us, new_us, call.require_new_connection
+        message.id, call.endpoint.id, timeout_us, new_timeout_us, call.require_new_connection
     )
     state.actions.append(action)
 
 
 def record_outcome(state: PolicyState, event: model.AttemptEnded) -> None:
-    """Record the outcome of an ended attempt, then finish, retry or remove its message."""
+    """Record the outcome of an ended attempt, then retry, finish or close its message.
+
+    An unknown attempt is ignored.
+    """
     call, message = state.calls.pop((event.message, event.attempt), (None, None))
     if call is None or message is None:
         return
@@ -102,7 +108,7 @@
     message.in_flight -= 1
     _release_connection(state, call, event)
     group = call.endpoint.group
-    if event.retry_after_us:  # honored for each message: they may differ within a batch
+    if event.retry_after_us:  # honored for each attempt of a call, since the values may differ within a batch
         until_us = state.now_us + event.retry_after_us + RETRY_AFTER_ROUNDING_US
         group.retry_after_until_us = max(group.retry_after_until_us, until_us)
     _record_call_outcome(state, call, event)
@@ -123,7 +129,7 @@
     endpoint = call.endpoint
     if event.new_connection is not None and event.new_connection != (call.connection_idle_us < 0):
         call.connection_idle_us = -1 if event.new_connection else 0
-        if event.new_connection:  # the server had no idle connection, contrary to this record
+        if event.new_connection:  # the server had no idle connection, although one is recorded here
             endpoint.idle_connections_since_us.clear()
     if call.open_attempts:
         return
@@ -159,8 +165,8 @@
 def _is_inconclusive(call: Call, event: model.AttemptEnded) -> bool:
     """Return whether the attempt's result shows nothing about its call.
 
-    A cancelled attempt and one that was never made are inconclusive. So is a time-out or a failed connection
-    while other messages of the batch are open: that message's deadline came before the end of the call.
+    A cancelled attempt and one that was not made are inconclusive. So is a time-out or a failed connection
+    while other attempts of the batch are open: the deadline of the message came before the end of the call.
     """
     if event.result in (AttemptResult.CANCELLED, AttemptResult.NOT_ATTEMPTED):
         return True
--- a/message_relay/policy/circuit_breaker.py
+++ b/message_relay/policy/circuit_breaker.py
@@ -21,7 +21,10 @@
 
 
 def open_circuit(state: PolicyState, endpoint: Endpoint, reason: str) -> None:
-    """Open the circuit, or double the half-open interval of an open one, with jitter."""
+    """Open the circuit, or double the half-open interval of an open one; a slow start ends.
+
+    The time of the next half-open attempt is set to the interval from now, with jitter.
+    """
     circuit = endpoint.circuit
     if not circuit.open:
         slow_start.update_target_rate(state, endpoint)
@@ -36,7 +39,10 @@
 
 
 def record_failure(state: PolicyState, endpoint: Endpoint, result: AttemptResult, call: Call) -> None:
-    """Open the circuit or restart a slow start, by the failure rate, which includes this failure."""
+    """Open the circuit, or begin or restart a slow start, if the failure rate is high enough.
+
+    The failure rate already includes this failure.
+    """
     circuit = endpoint.circuit
     if circuit.slow_start_since_us >= 0 and circuit.failure_rate >= OPEN_FAILURE_RATE / 2:
         circuit.slow_start_since_us = state.now_us
@@ -78,7 +84,8 @@
         state.log(f"circuit closed: transient fault, endpoint={endpoint.id}")
     elif not state.large_fleet or circuit.failure_rate >= TWO_FAILURES_RATE * (1 - FAILURE_EWMA_WEIGHT):
         circuit.slow_start_since_us = circuit.bucket.updated_at_us = state.now_us
-        # A full token for each instance, on top of its half-open attempts, would be too many calls.
+        # A full token for each instance, in addition to its half-open attempts, would be too many calls. In a
+        # large fleet the half-open attempts have used the tokens of this bucket.
         if not state.large_fleet:
             circuit.bucket.tokens = state.random.random()
         state.log(f"circuit closed: slow start, endpoint={endpoint.id}")
--- a/message_relay/policy/concurrency_window.py
+++ b/message_relay/policy/concurrency_window.py
@@ -27,7 +27,7 @@
 
 
 def record_connection_limit(state: PolicyState, endpoint: Endpoint) -> None:
-    """Set the endpoint's connection limit to the reused and idle connections that it has now."""
+    """Set the endpoint's connection limit to the present number of its reused and idle connections."""
     reused = sum(call.connection_idle_us >= 0 for call in endpoint.in_flight.values())
     endpoint.connection_limit = max(1, reused + len(endpoint.idle_connections_since_us))
     endpoint.connection_limit_at_us = state.now_us
--- a/message_relay/policy/connection_reuse.py
+++ b/message_relay/policy/connection_reuse.py
@@ -1,9 +1,10 @@
-"""Reuse limit of idle connections: the age up to which one is used for another call.
+"""Reuse limit of idle connections: the idle time up to which a connection is used for another call.
 
 An endpoint or a proxy may drop an idle connection silently, and the next call on it is lost. If calls on
-reused connections are lost clearly more often than on new ones, the reuse limit is cut below the age at which
-one failed; successes on old connections raise it again. The evidence is two pairs of EWMAs over all calls of
-the instance: the shares of reset and of timed-out calls, on new and on reused connections.
+reused connections are lost clearly more often than on new ones, the reuse limit is cut below the idle time of
+the connection of a lost call; successes after long idle times raise it again. The evidence is two pairs of
+EWMAs over all calls of the instance: the shares of reset and of timed-out calls, on new and on reused
+connections.
 """
 
 from message_relay.model import AttemptResult
@@ -36,12 +37,12 @@
     # If calls on new connections are lost about as often, the idle time is not the cause.
     rates = statistics.reset_rates if result is AttemptResult.RESET else statistics.timeout_rates
     if rates.reused > EXCESS_LOSS_FACTOR * rates.new + EXCESS_LOSS_SHARE:
-        # The connection was dropped silently while it was idle: older ones must be closed before a call.
+        # The connection was dropped silently while it was idle: those idle for longer must not be reused.
         statistics.calls_lost_on_reuse += 1
         if statistics.calls_lost_on_reuse > 1:
-            age_us = max(call.connection_idle_us, 2 * call.endpoint.group.latency_mean_us)
+            idle_us = max(call.connection_idle_us, 2 * call.endpoint.group.latency_mean_us)
             statistics.idle_reuse_limit_us = min(
-                statistics.idle_reuse_limit_us, int(REUSE_LIMIT_CUT_FACTOR * age_us)
+                statistics.idle_reuse_limit_us, int(REUSE_LIMIT_CUT_FACTOR * idle_us)
             )
 
 
--- a/message_relay/policy/eligibility.py
+++ b/message_relay/policy/eligibility.py
@@ -86,9 +86,10 @@
 
 
 def _order_allows(state: PolicyState, message: Message) -> bool:
-    """Return whether the message is the first open one of its order key and is not held back by a pause.
+    """Return whether the message is the first of its order key and is not held back by a pause.
 
-    An ambiguous failure starts a pause for messages of the key that were not attempted yet.
+    Earlier messages of the key precede it while they are open or have an attempt in flight. An ambiguous
+    failure starts a pause for the messages of the key that were not attempted yet.
     """
     pause_until_us = state.order_pauses.get(message.order_key, 0)
     paused = message.attempts == 0 and state.now_us < pause_until_us
--- a/message_relay/policy/final_answer.py
+++ b/message_relay/policy/final_answer.py
@@ -23,7 +23,7 @@
     else:
         if remaining_us > max(retry_after_limit_us, message.message_class.latency_objective_us):
             state.rejections_since_resubmission += 1
-        # Without a given Retry-After: half the maximum, if the message's time exceeds the maximum.
+        # Without a given Retry-After: half the maximum, if more than the maximum remains until the deadline.
         if not retry_after_us and remaining_us > retry_after_limit_us:
             retry_after_us = retry_after_limit_us // 2
         state.actions.append(RejectMessage(message.id, min(retry_after_us, retry_after_limit_us)))
--- a/message_relay/policy/rate_limiter.py
+++ b/message_relay/policy/rate_limiter.py
@@ -79,7 +79,8 @@
 def record_overload(state: PolicyState, group: EndpointGroup, retry_after_us: int) -> None:
     """Cut the rate and halve the concurrency window after an overload rejection, and start a wait.
 
-    The wait is the Retry-After in microseconds, or a backoff with jitter if that is 0. No tokens accrue then.
+    The wait is the Retry-After in microseconds, or a backoff with jitter if that is 0. No tokens accrue
+    during the wait.
     """
     if state.now_us >= group.rate_cut_blocked_until_us:
         round_trip_us = max(int(group.latency_mean_us), 2 * state.settings.tick_interval_us)
@@ -109,14 +110,14 @@
 
 
 def record_rejection(state: PolicyState, group: EndpointGroup) -> None:
-    """Count a rejection in the rejection rates of the group and its destination type."""
+    """Update the rejection rates of the group and its destination type with a rejection."""
     group.rejection_rate += (1 - group.rejection_rate) * REJECTION_EWMA_WEIGHT
     rates, type_index = state.statistics.rejection_rate_by_type, group.destination.type_index
     rates[type_index] += (1 - rates[type_index]) * TYPE_REJECTION_EWMA_WEIGHT
 
 
 def record_success(state: PolicyState, group: EndpointGroup) -> None:
-    """Count a success in the rejection rates of the group and its destination type."""
+    """Update the rejection rates with a success, and reset the number of consecutive overloads."""
     group.consecutive_overloads = 0
     group.rejection_rate *= 1 - REJECTION_EWMA_WEIGHT
     state.statistics.rejection_rate_by_type[group.destination.type_index] *= 1 - TYPE_REJECTION_EWMA_WEIGHT
@@ -125,20 +126,21 @@
 def grow(state: PolicyState, group: EndpointGroup) -> None:
     """Raise the rate after a success.
 
-    Near the rate that was rejected last, the step is small at first and grows with the time since the
-    rejection: with equal steps, one call in ten was rejected. In a large fleet the rate limit is removed when
-    the last cut is REJECTION_EXPIRY_US ago and the queue is empty.
+    Near the rate that was rejected last, the step is small at first and grows with the time since the last
+    cut: with equal steps, one call in ten was rejected. The upper bound is the advertised rate of all
+    instances together. In a large fleet the rate limit is removed when the last cut is REJECTION_EXPIRY_US
+    ago and the queue is empty.
     """
-    rate, since_cut_allowed_us = group.rate_limit_per_s, state.now_us - group.rate_cut_blocked_until_us
+    rate, since_block_ended_us = group.rate_limit_per_s, state.now_us - group.rate_cut_blocked_until_us
     if not rate:
         return
     near_rejected_rate = rate >= NEAR_REJECTED_RATE_SHARE * group.last_rejected_rate_per_s
     step = (
-        INCREASE_SHARE * min(1.0, max(MIN_INCREASE_FACTOR, since_cut_allowed_us / REJECTION_EXPIRY_US))
+        INCREASE_SHARE * min(1.0, max(MIN_INCREASE_FACTOR, since_block_ended_us / REJECTION_EXPIRY_US))
         if near_rejected_rate
         else INCREASE_SHARE
     )
     max_rate = group.advertised_rate_per_s * state.settings.instance_count or math.inf
     group.rate_limit_per_s = min(max_rate, rate + step * (group.advertised_rate_per_s or rate))
-    if state.large_fleet and not group.destination.queue and since_cut_allowed_us > REJECTION_EXPIRY_US:
+    if state.large_fleet and not group.destination.queue and since_block_ended_us > REJECTION_EXPIRY_US:
         group.rate_limit_per_s = 0.0
--- a/message_relay/policy/recovery_budget.py
+++ b/message_relay/policy/recovery_budget.py
@@ -56,7 +56,7 @@
     settings = state.settings
     allowed_factor = settings.instance_count * settings.slow_start_share * settings.overload_factor
     budget = allowed_factor * traffic_share_per_s(state, group) * settings.overload_window_us / 1e6
-    tolerated_calls = budget + 2 * math.sqrt(budget) + 2  # the sum above the budget is random variation
+    tolerated_calls = budget + 2 * math.sqrt(budget) + 2  # the added terms allow for random variation
     return (settings.instance_count - 1) * FAILURES_TO_OPEN * len(group.endpoints) <= tolerated_calls
 
 
--- a/message_relay/policy/retry.py
+++ b/message_relay/policy/retry.py
@@ -65,7 +65,8 @@
 def retries_after_rejection(state: PolicyState, message: Message) -> bool:
     """Return whether the message is retried after an overload rejection, which otherwise ends it.
 
-    That is so if clients mark resubmissions and none followed many rejections: rejected messages are lost.
+    That is so if clients mark resubmissions and none followed the last REJECTIONS_WITHOUT_RESUBMISSION
+    rejections: rejected messages are then lost.
     """
     clients_do_not_resubmit = state.rejections_since_resubmission >= REJECTIONS_WITHOUT_RESUBMISSION
     return (
--- a/message_relay/policy/selection.py
+++ b/message_relay/policy/selection.py
@@ -38,7 +38,7 @@
 
 
 def select(state: PolicyState, destination: Destination) -> Candidate | None:
-    """Return the destination's message that loses most by waiting, and its endpoint.
+    """Return the destination's message that loses most weight by waiting, and its endpoint.
 
     Messages that were restored and never attempted come first, by deadline. Returns None if no message may be
     sent now.
@@ -97,9 +97,10 @@
 def _weight_change_by_waiting(state: PolicyState, destination: Destination) -> functools.partial[float]:
     """Return a function of a message: the change of its weight by waiting, per microsecond of slot time.
 
-    The change is negative if the message loses weight. A message that waits for a slot waits for the calls of
-    all queued messages. The division by the slot time ranks slow or hanging groups last where slots are
-    short, since their calls occupy slots that others need.
+    The change is negative if the message loses weight. A message that is not sent now is expected to wait for
+    the time that the destination's queue takes at its rate, or for SLOT_QUEUE_FACTOR times the time that the
+    calls of all waiting messages take in all slots, whichever is longer. The division by the slot time ranks
+    slow or hanging groups last where slots are short, since their calls occupy slots that others need.
     """
     groups = destination.groups
     rate = sum(group.rate_limit_per_s or group.success_rate_per_s or 1.0 for group in groups)
--- a/message_relay/policy/slow_start.py
+++ b/message_relay/policy/slow_start.py
@@ -58,7 +58,7 @@
     state.log(f"endpoint uncordoned: slow start, endpoint={endpoint.id}")
 
 
-def traffic_factor(state: PolicyState, circuit: CircuitBreaker) -> float:
+def target_rate_share(state: PolicyState, circuit: CircuitBreaker) -> float:
     """Return the share of its target rate that a recovering endpoint may get now, up to 1.
 
     With an open circuit it is the share at the beginning of a slow start.
@@ -74,20 +74,20 @@
     if circuit.slow_start_since_us < 0:
         return False
     elapsed_us = state.now_us - circuit.slow_start_since_us
-    return elapsed_us >= state.settings.slow_start_us or traffic_factor(state, circuit) >= 1
+    return elapsed_us >= state.settings.slow_start_us or target_rate_share(state, circuit) >= 1
 
 
 def credit_new_message(state: PolicyState, group: EndpointGroup) -> None:
-    """Add a part of a token to a recovering group's bucket for a new message, in a large fleet.
+    """In a large fleet, add a part of a token to a recovering group's bucket for a new message.
 
     The calls of all instances then follow the total traffic. No tokens accrue during a Retry-After, since all
-    instances would use them at the moment it ends.
+    instances would use them when it ends.
     """
     circuit = group.shared_circuit
     if circuit is None or state.now_us < group.retry_after_until_us:
         return
     if circuit.open or circuit.slow_start_since_us >= 0:
-        credit = traffic_factor(state, circuit) / len(group.destination.groups)
+        credit = target_rate_share(state, circuit) / len(group.destination.groups)
         circuit.bucket.tokens = min(1.0, circuit.bucket.tokens + credit)
 
 
@@ -96,9 +96,9 @@
     circuit, group = endpoint.circuit, endpoint.group
     sharing_endpoints = 1 if state.large_fleet else group.count_ready_closed_circuits()
     min_rate = MIN_RATE_LARGE_FLEET_PER_S if state.large_fleet else MIN_RATE_PER_S
-    # An instance that starts during an outage measures no traffic: its target rate is below one advertised
-    # since.
+    # An instance that starts during an outage measures no traffic. If a rate is advertised later, it exceeds
+    # the target rate that was set then.
     target_rate = max(circuit.target_rate_per_s, group.advertised_rate_per_s)
-    rate = max(traffic_factor(state, circuit) * target_rate / sharing_endpoints, min_rate)
+    rate = max(target_rate_share(state, circuit) * target_rate / sharing_endpoints, min_rate)
     circuit.bucket.refill(state.now_us, rate)
     return 0 if circuit.bucket.tokens >= 1.0 else circuit.bucket.wait_us(rate)
--- a/message_relay/policy/timeouts.py
+++ b/message_relay/policy/timeouts.py
@@ -1,10 +1,10 @@
 """Adaptive time-outs from the measured latency of each endpoint group.
 
-A call times out once it is very likely lost: the odds of a response against a loss are
-RESPONSE_ODDS_AT_TIMEOUT. With a share p of calls lost, and a probability of late responses that falls by the
-factor e with each TAIL_DEVIATIONS deviations, that is ln(1 / (RESPONSE_ODDS_AT_TIMEOUT * p)) times
-TAIL_DEVIATIONS deviations above the mean. Means and deviations are EWMAs for each group; the share of lost
-calls and the setup time of connections are estimated over all groups. The slot occupancy of calls is
+A call times out once it is very likely lost: when the odds of a response against a loss have fallen to
+RESPONSE_ODDS_AT_TIMEOUT. If a share p of calls is lost, and the probability of a late response falls by the
+factor e with each TAIL_DEVIATIONS deviations, that time is ln(1 / (RESPONSE_ODDS_AT_TIMEOUT * p)) times
+TAIL_DEVIATIONS deviations above the mean latency. Means and deviations are EWMAs for each group; the share of
+lost calls and the setup time of connections are estimated over all groups. The slot occupancy of calls is
 estimated here too.
 """
 
@@ -60,7 +60,8 @@
     decayed_rate = statistics.lost_call_rate * (1 - LOST_CALL_EWMA_WEIGHT)
     statistics.lost_call_rate = max(state.min_lost_call_rate, decayed_rate)
     if not group.latency_mean_us:
-        # One fast response does not justify a short time-out: the mean starts at that of all calls or above.
+        # One fast response does not justify a short time-out: the mean starts no lower than the mean slot
+        # occupancy of all calls.
         initial_us = max(float(latency_us), statistics.slot_occupancy_us)
         group.latency_mean_us = group.latency_deviation_us = initial_us
     change_us = abs(latency_us - group.latency_mean_us) - group.latency_deviation_us
@@ -108,13 +109,19 @@
 
 
 def _timeout_us(state: PolicyState, message: Message, call: Call, expected_us: int) -> int:
+    """Return the time-out of an attempt whose response is expected within ``expected_us``.
+
+    It is at least 1 and otherwise at most the time until the deadline or the shutdown, less the margin. If a
+    message that may be repeated has no time for another attempt after ``expected_us``, its attempt may take
+    all of that time.
+    """
     remaining_us = (
         int(min(message.deadline_us, state.shutdown_at_us)) - state.now_us - state.deadline_margin_us
     )
     timeout_us = remaining_us
     if message.message_class.idempotency is Idempotency.NON_IDEMPOTENT:
-        # Its only attempt gets at least the latency objective, unless slots are short: a lost call would keep
-        # one from other messages.
+        # Its only attempt gets at least the latency objective, unless slots are short: a lost call would
+        # occupy a slot that other messages need.
         slots_short = state.in_flight > state.max_calls_per_destination
         objective_us = message.message_class.latency_objective_us
         timeout_us = min(remaining_us, expected_us if slots_short else max(expected_us, objective_us))
--- a/message_relay/policy_snapshot/snapshots.py
+++ b/message_relay/policy_snapshot/snapshots.py
@@ -9,7 +9,7 @@
 
 
 class InstanceSnapshot(NamedTuple):
-    """State of the instance as such: counters, quotas and call statistics. Fields as in PolicyState."""
+    """State of the instance that belongs to no destination or message. Fields as in PolicyState."""
 
     last_sequence: int
     rejections_since_resubmission: int
@@ -124,7 +124,7 @@
 
 
 class PolicySnapshot(NamedTuple):
-    """Complete state of a policy: a policy that restores it decides as this one would have.
+    """Complete state of a policy, from which another policy continues with the same decisions.
 
     Endpoint numbers are those of the process that captured the snapshot.
     """
--- a/message_relay/policy_snapshot/transfer.py
+++ b/message_relay/policy_snapshot/transfer.py
@@ -140,7 +140,7 @@
     for group in captured.groups:
         numbers = [endpoints.get(number, 0) for number in group.endpoints]
         present = [state.endpoints[number] for number in numbers if number in state.endpoints]
-        if not destination.groups:  # its Retry-After also holds for endpoints that are listed later
+        if not destination.groups:  # the Retry-After of the group applies to endpoints listed later, too
             state.add_group(destination)
         if present or not state.settings.destination_types[type_index].independent_endpoints:
             set_group_values(present[0].group if present else destination.groups[0], group.values)
--- a/message_relay/policy_state/entities.py
+++ b/message_relay/policy_state/entities.py
@@ -25,7 +25,8 @@
     """Token bucket without a fixed rate: the caller passes the rate each time."""
 
     tokens: float = 1.0
-    updated_at_us: int = 0  # time up to which tokens were added; no tokens accrue before a time in the future
+    # Time up to which tokens were added; if it is in the future, none accrue until then.
+    updated_at_us: int = 0
 
     def refill(self, now_us: int, rate_per_s: float, capacity: float = 1.0) -> float:
         """Add the tokens accrued since the last update, and return their number before it is capped."""
@@ -53,7 +54,7 @@
     open: bool = False  # only half-open attempts are sent
     half_open_call: Call | None = None  # the half-open attempt in flight
     half_open_at_us: int = 0  # no half-open attempt is sent before this time
-    half_open_interval_us: int = 0  # upper bound of the time between two half-open attempts, before jitter
+    half_open_interval_us: int = 0  # upper bound of the randomized time between two half-open attempts
     slow_start_since_us: int = -1  # start of the slow start, -1 if there is none
     target_rate_per_s: float = 0.0  # rate of calls at the end of the slow start
     # Calls that the slow start allows now; in a large fleet also half-open attempts.
@@ -77,8 +78,8 @@
     # For each idle connection the time at which it became idle, oldest first.
     idle_connections_since_us: list[int] = field(default_factory=list)
     failure_rate: float = 0.0  # share of failed calls, used to rank endpoints
-    # Share of calls that failed after the message may have been applied, as of ambiguous_failure_at_us; it
-    # fades with time (outlier_detection.ambiguous_failure_rate).
+    # Share of calls that failed after the message may have been applied, as of ambiguous_failure_at_us. Its
+    # decay since then is computed by outlier_detection.ambiguous_failure_rate.
     ambiguous_failure_rate: float = 0.0
     ambiguous_failure_at_us: int = 0  # last change of ambiguous_failure_rate
     last_success_at_us: int = 0  # 0: none
@@ -91,7 +92,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class RecoveryBudget:
-    """Limit on the calls to a group of which no endpoint answers, until a call to it succeeds.
+    """Limit on the calls to a group of which no endpoint responds, until a call to it succeeds.
 
     Used in small fleets only (``policy.recovery_budget``).
     """
@@ -176,7 +177,9 @@
     sequence: int  # position in the order of submission
     order_key: int  # 0: none
     deadline_us: int
-    submitted_at_us: int  # the deadline less the deadline of the class
+    # Nominal time of submission, from which the latency objective counts: deadline_us less the time that the
+    # class allows until the deadline. A message with another lifetime was submitted at another time.
+    submitted_at_us: int
     destination: Destination
     next_attempt_at_us: int  # no attempt starts before this time (backoff)
     attempts: int = 0  # attempts started, those before a restart included
@@ -186,7 +189,8 @@
     last_endpoint: Endpoint | None = None  # endpoint of the last attempt
     closed: bool = False  # no final answer is needed any more; only outcomes of attempts are awaited
     response_started: bool = False  # the client receives a response: no further attempt, no expiry
-    # Its first attempt failed fast: its next one is exempt from the recovery limits.
+    # Its first attempt failed fast: the next one needs no token of the recovery budget and, in a large fleet,
+    # none of an open circuit.
     fast_retry_allowed: bool = False
     weight: float = 1.0  # class weight, reduced if the tenant is over its quota
     restored: bool = False  # accepted before a restart
@@ -244,7 +248,7 @@
 
     idle_reuse_limit_us: int  # longest idle time after which a connection is still reused
     rejection_rate_by_type: list[float]  # share of calls rejected because of overload, by destination type
-    lost_call_rate: float  # share of calls without a response from an endpoint that answers other calls
+    lost_call_rate: float  # share of calls without a response from an endpoint that responds to other calls
     calls_lost_on_reuse: int = 0  # calls lost on reused connections since idle_reuse_limit_us was last raised
     # Mean time for which a call uses a slot; failed calls count, rejected ones do not.
     slot_occupancy_us: float = INITIAL_SLOT_OCCUPANCY_US
--- a/message_relay/policy_state/state.py
+++ b/message_relay/policy_state/state.py
@@ -58,11 +58,12 @@
         self.in_flight = self.last_sequence = 0
         self.expiries: list[tuple[float, int]] = []  # heap of (time, message): when to check for expiry
         self.scheduled_ticks: list[int] = []  # heap of the times of the scheduled ticks
-        self.order_queues: dict[int, list[Message]] = {}  # by order key, in order of submission
+        # By order key, in order of submission: messages that are open or have an attempt in flight.
+        self.order_queues: dict[int, list[Message]] = {}
         self.order_pauses: dict[int, int] = {}  # by order key: no first attempt before this time
         quota_rates_per_s = [tenant.quota_per_s / settings.instance_count for tenant in settings.tenants]
         self.quotas = [TenantQuota(rate_per_s, TokenBucket()) for rate_per_s in quota_rates_per_s]
-        self.capacity_reached_logged = False  # the log last reported that the open messages reach the limit
+        self.capacity_reached_logged = False  # the last log line about the capacity was "capacity reached"
         self.rejections_since_resubmission = 0  # rejections since a client last resubmitted a message
         self.statistics = CallStatistics(
             settings.connection_idle_timeout_us,
@@ -92,7 +93,7 @@
         return destination
 
     def schedule_expiry(self, at_us: float, message: Message) -> None:
-        """Check at that time whether the message has expired (``policy.final_answer.expire``)."""
+        """Schedule a check whether the message has expired (``policy.final_answer.expire``)."""
         heapq.heappush(self.expiries, (at_us, message.id))
 
     def change_calls_in_flight(self, call: Call, change: int) -> None:
@@ -128,9 +129,10 @@
         return endpoint
 
     def remove_if_unused(self, endpoint: Endpoint) -> None:
-        """Delete an endpoint that was removed from the list, once no call to it is in flight.
+        """Delete an endpoint that was removed from the list, unless a call to it is in flight.
 
-        Otherwise endpoints that have been replaced would accumulate.
+        Its group is deleted too if it is now empty and not the only one of its destination. If they were not
+        deleted, endpoints that were replaced by new ones would accumulate.
         """
         if endpoint.state is not EndpointState.REMOVED or endpoint.in_flight:
             return
@@ -158,7 +160,10 @@
         message.last_endpoint = call.endpoint
 
     def close_message(self, message: Message) -> None:
-        """Close a message that needs no further attempt; delete it once none of its attempts is in flight."""
+        """Close a message that needs no further attempt, and delete it if none of its attempts is in flight.
+
+        Otherwise it stays in the queue of its order key until this is called again after its last attempt.
+        """
         if not message.closed:
             message.closed = True
             if message in message.destination.queue:
