--- a/message_relay/policy/eligibility.py
+++ b/message_relay/policy/eligibility.py
@@ -78,6 +78,10 @@
 
 
 def _repeat_allowed(state: PolicyState, message: Message, endpoint: Endpoint) -> bool:
+    """Return whether a possibly applied message may be attempted again at the endpoint.
+
+    Endpoints have no cell here: with KeyScope.CELL, all endpoints of the destination are taken as one cell.
+    """
     message_class = message.message_class
     if message_class.idempotency is not Idempotency.KEYED:
         return message_class.idempotency is Idempotency.IDEMPOTENT
--- a/message_relay/policy_snapshot/snapshots.py
+++ b/message_relay/policy_snapshot/snapshots.py
@@ -124,7 +124,9 @@
 
 
 class PolicySnapshot(NamedTuple):
-    """Complete state of a policy, from which another policy continues with the same decisions.
+    """State of a policy, from which the policy of another process continues.
+
+    Order pauses, idle connections and the state of the random numbers are not included.
 
     Endpoint numbers are those of the process that captured the snapshot.
     """
--- a/message_relay/server/attempt_runner.py
+++ b/message_relay/server/attempt_runner.py
@@ -28,7 +28,7 @@
 
 # Results which prove that the attempt was not applied.
 RESULTS_NOT_APPLIED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_ATTEMPTED)
-DEADLINE_MARGIN_TICKS = 2  # kept free between the extended time-out of a batched message and its deadline
+BATCH_DEADLINE_MARGIN_TICKS = 2  # between the extended time-out of a batched message and its deadline
 log = logging.getLogger(__name__)
 
 
@@ -100,7 +100,7 @@
         attempts = self._prepare_batch(attempts)
         try:
             self.calls.send(endpoint, attempts)
-        except Exception:  # without outcomes its slots and messages would stay occupied
+        except Exception:  # without outcomes, its slot would stay in use and its messages in flight
             log.exception("starting a call failed: endpoint=%d", endpoint)
             for attempt in attempts:
                 if not attempt.ended:
@@ -112,19 +112,19 @@
         """Return the attempts of one call, the latest deadline first, with their time-outs extended.
 
         Each time-out is extended to the longest one, but not beyond its message's deadline less a margin. The
-        latest deadline comes first because the call counts as abandoned when the time of its first message
-        ends. With an earlier one first, the other messages would still wait for their responses at that time.
+        latest deadline comes first, since a call counts as abandoned after the deadline of its first message.
+        With an earlier deadline first, that would happen while other messages still wait for their responses.
         """
-        messages, deadline_margin_us = (
+        messages, batch_margin_us = (
             self._journal.messages,
-            DEADLINE_MARGIN_TICKS * self._settings.tick_interval_us,
+            BATCH_DEADLINE_MARGIN_TICKS * self._settings.tick_interval_us,
         )
         attempts = sorted(attempts, key=lambda attempt: -messages[attempt.message_number].deadline_s)
         longest_timeout_us = max(attempt.timeout_us for attempt in attempts)
         longest_new_connection_timeout_us = max(attempt.new_connection_timeout_us for attempt in attempts)
         for attempt in attempts:
             deadline_us = clock.monotonic_at_us(messages[attempt.message_number].deadline_s)
-            remaining_us = deadline_us - clock.monotonic_us() - deadline_margin_us
+            remaining_us = deadline_us - clock.monotonic_us() - batch_margin_us
             attempt.timeout_us = max(attempt.timeout_us, min(longest_timeout_us, remaining_us))
             new_connection_us = max(
                 attempt.new_connection_timeout_us, min(longest_new_connection_timeout_us, remaining_us)
@@ -156,8 +156,8 @@
     def record_starting_attempts(self, attempts: list[CallAttempt]) -> bool:
         """Record the attempts just before they are written; return False if they must not be written.
 
-        They must not be written if a message is completed, if the window of its idempotency key has passed,
-        or if the journal cannot record them.
+        That is the case if a message is completed, if the window of its idempotency key has passed, or if the
+        journal cannot record the attempts.
         """
         numbers = [attempt.message_number for attempt in attempts]
         if any(
--- a/message_relay/server/discovery/endpoint_watch.py
+++ b/message_relay/server/discovery/endpoint_watch.py
@@ -1,10 +1,10 @@
-"""Watch on the endpoint list: a response of the discovery service without end, one JSON line for each change.
+"""Watch on the endpoint list: an endless response of the discovery service, with a JSON line for each change.
 
 An endpoint list change must reach this instance at most 6 s after the discovery service has it and is
-reachable, whatever failed before. The time-outs and waits below keep to this: the silence of a broken watch,
-one failed request and the longest wait that can follow it take less than 6 s together. When SIGHUP changes
-the address, which resets the backoffs, one failed request and the longest wait that can follow it take less
-than 4 s.
+reachable, whatever failed before. The time-outs and waits below ensure this: the time until a silent watch is
+found broken, one failed request and the longest wait that can follow it take less than 6 s together. When
+SIGHUP changes the address, which resets the backoffs, one failed request and the longest wait that can follow
+it take less than 4 s.
 
 The watch is reopened from the revision of the latest change reported, so a change that was missed while it
 was broken is sent then. A malformed change cannot be skipped: the watch is reopened from revision 0, and the
--- a/message_relay/server/endpoint_calls/attempt.py
+++ b/message_relay/server/endpoint_calls/attempt.py
@@ -1,4 +1,4 @@
-"""Types that are exchanged with the user of `EndpointCallClient`: attempts, outcomes and the observer."""
+"""Types of the interface of `EndpointCallClient`: attempts, their outcomes, and the observer of calls."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
     """Outcome of an attempt, reported once; the package docstring describes the results."""
 
     result: AttemptResult
-    message_ended: bool = False  # the message needs no further attempt
+    message_ended: bool = False  # the message needs no further attempt and no final answer
     retry_after_us: int = 0  # Retry-After of the response, 0: missing
     malformed: bool = False  # the result is ERROR because the response was malformed or incomplete
 
 
 class CallObserver(Protocol):
-    """The user of `EndpointCallClient`, which permits requests and receives outcomes.
+    """Observer of the calls of `EndpointCallClient`, which permits requests and receives outcomes.
 
     Each method is called synchronously, in the event loop callback that detected the event.
     """
--- a/message_relay/server/endpoint_calls/client.py
+++ b/message_relay/server/endpoint_calls/client.py
@@ -31,7 +31,7 @@
 class EndpointCallClient:
     """Sends calls to all endpoints; holds the calls in flight and the idle connections.
 
-    connection_idle_us: connection idle timeout of the endpoints; 0: connections are not reused.
+    connection_idle_timeout_us: idle time after which endpoints close a connection; 0: none is reused.
     connect_timeout_us: limit for establishing a connection, and for a complete health check.
     max_idle_connections: limit for all endpoints together.
     """
@@ -40,7 +40,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         observer: CallObserver,
-        connection_idle_us: int,
+        connection_idle_timeout_us: int,
         connect_timeout_us: int,
         max_idle_connections: int,
     ) -> None:
@@ -50,7 +50,7 @@
         self.calls_on_new_connections = 0  # includes calls whose connection was not established
         self.calls_on_reused_connections = 0
         self._connect_timeout_s = connect_timeout_us / US_PER_S
-        idle_timeout_s = connection_idle_us * IDLE_TIMEOUT_SHARE / US_PER_S
+        idle_timeout_s = connection_idle_timeout_us * IDLE_TIMEOUT_SHARE / US_PER_S
         self._pools = ConnectionPools(loop, idle_timeout_s, max_idle_connections)
 
     @property
@@ -82,7 +82,7 @@
         for call in list(self.in_flight):
             call.abandon()
 
-    # Requests of the user
+    # Start and cancellation of calls
 
     def send(self, endpoint: int, attempts: list[CallAttempt]) -> None:
         """Start a call with these attempts; the outcome of each is reported to the observer once."""
@@ -163,6 +163,10 @@
             self._end_after_connect_error(call, error)
 
     def _connect_timed_out(self, call: EndpointCall, connection: HttpConnection) -> None:
+        """Time out the call if its request was not sent: it has no handler and no status then.
+
+        Without the status, a call whose response is being aborted would look like one that is connecting.
+        """
         if connection.handler is None and not call.status:
             call.time_out()
 
@@ -171,9 +175,9 @@
     def _start_timeouts(self, call: EndpointCall, on_new_connection: bool) -> None:
         """Start the time-out of each attempt; its length depends on whether the connection is new.
 
-        Each attempt of a batch has its own timer, and the call ends with the last one. The user makes the
-        time-outs of a batch equal, as far as each message's deadline permits: a message that timed out sooner
-        could be attempted again while its first copy is still in flight.
+        Each attempt of a batch has its own timer, and the call ends with the last one. AttemptRunner makes
+        the time-outs of a batch equal, as far as each message's deadline permits: a message that timed out
+        sooner could be attempted again while its first copy is still in flight.
         """
         for attempt in call.attempts:
             attempt.on_new_connection = on_new_connection
@@ -212,7 +216,7 @@
         connection.send_request(request.method, request.path, request.headers, request.body, call)
 
     def _write_permitted(self, call: EndpointCall) -> bool:
-        """Return whether the call may still be sent; this can change while a connection is established."""
+        """Return whether the request may still be sent; this can change while a connection is established."""
         if not call.attempts and not call.health_check:
             return False
         if not self.observer.may_write(call.endpoint):
--- a/message_relay/server/endpoint_calls/responses.py
+++ b/message_relay/server/endpoint_calls/responses.py
@@ -71,8 +71,8 @@
     """Return the outcome of each message in a batch's response, by message id.
 
     The result is empty if the body is malformed, has an unknown state or contains a message twice. A message
-    without an outcome may have been applied. wait_us: Retry-After of the response, in microseconds; it is
-    part of each outcome.
+    without an outcome in it may have been applied. wait_us: Retry-After of the response, in microseconds; it
+    is part of each outcome.
     """
     try:
         rows = json.loads(body)
--- a/message_relay/server/final_answers.py
+++ b/message_relay/server/final_answers.py
@@ -107,10 +107,10 @@
 
 
 def record_best_effort(write: Callable[[list[int]], None], numbers: list[int]) -> None:
-    """Write a record and log a failure without raising it.
+    """Call ``write`` with the message numbers; log an OSError instead of raising it.
 
-    If the record is lost, a restart makes the more careful assumption: that the message is not completed yet,
-    or that its latest attempt was possibly applied.
+    If the record is lost, a restart makes the safer assumption: that the message is not completed yet, or
+    that its latest attempt was possibly applied.
     """
     try:
         write(numbers)
--- a/message_relay/server/hot_restart/__init__.py
+++ b/message_relay/server/hot_restart/__init__.py
@@ -24,7 +24,7 @@
   lock or has changed the journal; it then drains as in step 4, but does not send the outcomes, and the new
   process treats the attempts in flight as possibly applied.
 - In steps 2 and 3, if the new process does not receive the complete handover in time, or cannot acquire the
-  lock in time, it drops the received state and repeats step 1. This includes that the old process ends.
+  lock in time, it drops the received state and repeats step 1. It does the same if the old process ends.
 - In step 4, if the old process ends, the attempts without a reported outcome are possibly applied, like
   attempts in flight at an ordinary restart.
 - In step 4, if the new process ends, the old one still drains, but the outcomes are lost: the next process
--- a/message_relay/server/hot_restart/frames.py
+++ b/message_relay/server/hot_restart/frames.py
@@ -150,11 +150,11 @@
 class UnknownFrame(NamedTuple):
     """A frame with a name that this build does not define; it is ignored."""
 
-    kind: Any
+    frame_name: Any
 
     def encode(self) -> list[Any]:
         """Return the frame name that was received, without its values."""
-        return [self.kind]
+        return [self.frame_name]
 
 
 Report = AttemptEndedReport | RetryAfterReport | LoadReport
@@ -188,6 +188,6 @@
 
     Raises `LookupError`, `TypeError` or `ValueError` if the values do not match the frame name.
     """
-    kind, *rest = values
-    decoder = _DECODERS.get(kind)
-    return decoder(rest) if decoder else UnknownFrame(kind)
+    frame_name, *rest = values
+    decoder = _DECODERS.get(frame_name)
+    return decoder(rest) if decoder else UnknownFrame(frame_name)
--- a/message_relay/server/hot_restart/snapshot.py
+++ b/message_relay/server/hot_restart/snapshot.py
@@ -32,7 +32,7 @@
 class ServerSnapshot(NamedTuple):
     """The state of the old process that is neither in the journal nor part of a client connection.
 
-    Sent are the policy's state, the endpoint list, the Retry-After waits and the calls in flight.
+    It consists of the policy's state, the endpoint list, the Retry-After waits and the calls in flight.
     """
 
     policy: PolicySnapshot
--- a/message_relay/server/hot_restart/state_transfer.py
+++ b/message_relay/server/hot_restart/state_transfer.py
@@ -59,7 +59,7 @@
 
 
 class ReportingObserver:
-    """Observes the calls in flight during a handover: reports their outcomes, lets no attempt start.
+    """Observes the calls in flight during a handover: reports their outcomes, permits no further attempt.
 
     The same outcomes are stored in `deferred_actions`, which are run if this process serves on.
     """
--- a/message_relay/server/http/connection.py
+++ b/message_relay/server/http/connection.py
@@ -168,6 +168,11 @@
         response.handler.response_complete(response.trailing_bytes and not response.trailing_response)
 
     def _close_as_malformed(self) -> None:
+        """Close the connection and report a malformed response.
+
+        If the request was not written to its last byte, the server cannot have executed it: a lost connection
+        is reported instead.
+        """
         handler, request_written = self.handler, self.request_written
         self.close()
         if handler is None:
--- a/message_relay/server/journal/expiring_index.py
+++ b/message_relay/server/journal/expiring_index.py
@@ -62,6 +62,7 @@
         due = [bucket for bucket in self._buckets if bucket <= now_s]
         for bucket in due:
             for identifier in self._buckets.pop(bucket):
-                entry = self.entries.get(identifier)  # replaced or removed since it was put into the bucket?
+                # It may have been replaced or removed since it was added to the bucket.
+                entry = self.entries.get(identifier)
                 if entry is not None and entry.expires_at_s <= now_s:
                     self.remove(identifier)
--- a/message_relay/server/journal/records.py
+++ b/message_relay/server/journal/records.py
@@ -43,8 +43,8 @@
     """A message without an outcome, or whose final answer discovery has not accepted yet.
 
     An attempt is possibly applied if its start is recorded and `AttemptNotApplied` is not: the endpoint may
-    have executed it. Stored are the latest attempt and, of all attempts before it, the first possibly applied
-    one. Attempts of a previous message with the same idempotency key count as earlier attempts.
+    have executed it. The latest attempt is stored and, of all attempts before it, the first possibly
+    applied one. Attempts of a previous message with the same idempotency key count as earlier attempts.
 
     The fields are in the order of the stored values. Times are in wall clock seconds, 0 if there is none.
     """
--- a/message_relay/server/operations.py
+++ b/message_relay/server/operations.py
@@ -46,7 +46,7 @@
             raise CommandRejectedError(reason)
 
     def render_metrics(self) -> str:
-        """Return the metrics, one a line."""
+        """Return the metrics, one per line."""
         entries = self._directory.entries
         out_of_rotation = sum(
             1 for endpoint in self._policy.endpoints_out_of_rotation() if endpoint in entries
@@ -62,7 +62,10 @@
         self._lifecycle.resume()
 
     def cordon(self, uid: str) -> None:
-        """Start no more attempts at an endpoint, whatever its state in the endpoint list."""
+        """Start no further attempts at a listed endpoint until it is uncordoned.
+
+        The cordon stays in force after changes of the endpoint list and after a restart.
+        """
         self._lifecycle.require_serving()
         if uid in self._journal.cordoned:
             return
@@ -73,7 +76,7 @@
         self._set_cordon(uid, cordoned=True)
 
     def uncordon(self, uid: str) -> None:
-        """Start attempts at an endpoint again, which begins with a slow start."""
+        """Allow attempts at a cordoned endpoint again; they begin with a slow start."""
         self._lifecycle.require_serving()
         if uid in self._journal.cordoned:
             self._set_cordon(uid, cordoned=False)
--- a/message_relay/server/relay_server.py
+++ b/message_relay/server/relay_server.py
@@ -203,6 +203,11 @@
         self.answers.start_deadline_timer(message)
 
     async def _listen(self, handover: HandoverState | None) -> int:
+        """Accept new clients, continue the connections that were handed over, and return the port.
+
+        The listening socket is the one that the platform has opened, else the one that was handed over, else
+        a new one at the configured address.
+        """
         descriptor = self.configuration.listen_fd
         if handover and handover.listener_fd is not None:
             if descriptor < 0:
@@ -245,7 +250,7 @@
         self.transfer.report_received(report)
 
     def reports_ended(self) -> None:
-        """Treat the calls that the old process has not reported as possibly applied: no reports follow."""
+        """Treat attempts without a report as possibly applied, because the old process disconnected."""
         self.transfer.reports_ended()
 
     # Completion of messages
--- a/message_relay/server/resp/server.py
+++ b/message_relay/server/resp/server.py
@@ -37,9 +37,8 @@
         unready_reason: Callable[[], str],
     ) -> None:
         self.submit = submit
-        self.unready_reason = (
-            unready_reason  # returns the error for a PING, empty if it is answered with PONG
-        )
+        # Returns the text of the error reply to a PING, empty if the reply is PONG.
+        self.unready_reason = unready_reason
         self.table = ConnectionTable(max_connections)
         self.loop = asyncio.get_event_loop()
         self.listening_socket: socket.socket | None = None
@@ -102,7 +101,7 @@
         connection.import_state(state)
 
     def accept_pending(self) -> None:
-        """Accept the connections in the backlog, which closing the listening socket would reset."""
+        """Accept the connections in the backlog, since closing the listening socket would reset them."""
         while self.listening_socket is not None and not self.paused:
             count_before = len(self.connections)
             self._on_acceptable()
--- a/message_relay/server/submission.py
+++ b/message_relay/server/submission.py
@@ -177,8 +177,8 @@
     def _withdraw_older_message(self, message: AcceptedMessage) -> None:
         """Withdraw the open message that has the same idempotency key, if there is one.
 
-        A client uses the key of an open message again only after it has given up on that message. The new
-        message keeps the time and zone of the older one's possibly applied attempt.
+        A client uses the key of an open message again only after it has stopped waiting for that message. The
+        new message takes over the time and zone of the older one's possibly applied attempt.
         """
         number = self._journal.open_number_by_key.get(message.idempotency_key, 0)
         older_message = self._journal.messages.get(number)
--- a/tests/test_endpoint_calls.py
+++ b/tests/test_endpoint_calls.py
@@ -21,7 +21,7 @@
         self.load_reports, self.written = [], []
         self.allowed = True
         options = {
-            "connection_idle_us": 10_000_000,
+            "connection_idle_timeout_us": 10_000_000,
             "connect_timeout_us": 1_000_000,
             "max_idle_connections": 20,
             **changes,
@@ -189,7 +189,7 @@
 def test_idle_connections_are_closed_before_the_endpoint_closes_them():
     async def run():
         endpoint = await Endpoint().start()
-        observer = RecordingObserver(connection_idle_us=100_000)
+        observer = RecordingObserver(connection_idle_timeout_us=100_000)
         await observer.send(endpoint.port, "a")
         await bounded(endpoint.ended.get())  # closed by the client
         assert not observer.client.pools[1].idle
