--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -67,9 +67,10 @@
 
 
 def _take_idle_connection(state: PolicyState, call: Call) -> None:
-    """Assign to the call the endpoint's connection that became idle last, as the server does.
+    """Assign to the call the endpoint's connection that became idle last, which is the one the server uses.
 
-    If even that one was idle for longer than the reuse limit, all idle connections are closed first.
+    If even that one was idle for longer than the reuse limit, all idle connections are closed first, unless
+    their idle timeout has passed. The call then uses a new connection.
     """
     endpoint, now = call.endpoint, state.now_us
     oldest_reusable_us = now - state.statistics.idle_reuse_limit_us
--- a/message_relay/policy/recovery_budget.py
+++ b/message_relay/policy/recovery_budget.py
@@ -40,6 +40,7 @@
 
 
 def _is_responding(state: PolicyState, group: EndpointGroup) -> bool:
+    """Return whether a ready endpoint had a success recently, or no failure since its last success."""
     return any(
         state.now_us - endpoint.last_success_at_us < MAX_TRANSIENT_FAULT_US
         or endpoint.last_failure_at_us <= endpoint.last_success_at_us
@@ -49,7 +50,7 @@
 
 
 def _detection_fits_budget(state: PolicyState, group: EndpointGroup) -> bool:
-    """Return whether the calls that open the circuits of all other instances fit into the budget.
+    """Return whether the failed calls with which all other instances open their circuits fit the budget.
 
     The budget is the number of calls that a recovering destination can take within the overload window.
     """
--- a/message_relay/server/reload.py
+++ b/message_relay/server/reload.py
@@ -18,7 +18,7 @@
     The file may be partially written when the signal arrives. The current configuration stays in force until
     the file is valid. After each successful read, `on_discovery_address` is called with the address of the
     discovery service in the file, even if it has not changed. `on_reload_result` is called with True if the
-    configuration took effect and with False if the file is not valid, the latter at most once per signal.
+    file was read and is valid, and with False if it is not, the latter at most once per signal.
     """
 
     def __init__(
