--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -1,9 +1,9 @@
 """Dispatch of calls and handling of their outcomes.
 
 While call slots are free, the most urgent message of any destination is sent. When an attempt ends, its
-outcome updates the statistics of the endpoint and its group, and the message is finished, retried with full
-jitter, or removed. A call may carry a batch: its outcome is recorded once, with the first attempt whose
-result is conclusive for the call.
+outcome updates the statistics of the endpoint and its group, and the message is retried with full jitter,
+finished with a final answer, or closed without one. A call may carry a batch: its outcome is recorded once,
+with the first attempt whose result is conclusive for the call.
 """
 
 from message_relay import model
@@ -29,7 +29,10 @@
 
 
 def dispatch(state: PolicyState) -> None:
-    """Send the queued messages that may be sent, the most urgent first, while slots are free."""
+    """Send the queued messages that may be sent, the most urgent first, while slots are free.
+
+    A destination whose calls may carry batches gets at most one call in each tick.
+    """
     waiting = (destination for destination in state.destinations.values() if destination.queue)
     selected = {d.id: candidate for d in waiting if (candidate := selection.select(state, d))}
     while selected and state.in_flight < state.settings.call_slots:
@@ -45,7 +48,7 @@
 def _send_call(state: PolicyState, message: Message, endpoint: Endpoint) -> None:
     group, circuit = endpoint.group, endpoint.circuit
     call = Call(endpoint, state.now_us, endpoint_was_idle=not endpoint.in_flight)
-    state.add_calls_in_flight(call, 1)
+    state.change_calls_in_flight(call, 1)
     endpoint.in_flight[id(call)] = call
     non_idempotent = message.message_class.idempotency is model.Idempotency.NON_IDEMPOTENT
     call.require_new_connection = non_idempotent and connection_reuse.reused_connections_reset_more_often(
@@ -64,9 +67,10 @@
 
 
 def _take_idle_connection(state: PolicyState, call: Call) -> None:
-    """Assign to the call the endpoint's connection that became idle last, as the server does.
+    """Assign to the call the endpoint's connection that became idle last, which is the one the server uses.
 
-    If even that one was idle for longer than the reuse limit, all idle connections are closed first.
+    If even that one was idle for longer than the reuse limit, all idle connections are closed first, unless
+    their idle timeout has passed. The call then uses a new connection.
     """
     endpoint, now = call.endpoint, state.now_us
     oldest_reusable_us = now - state.statistics.idle_reuse_limit_us
@@ -84,17 +88,20 @@
 
 
 def _start_attempt(state: PolicyState, message: Message, call: Call) -> None:
-    reused_us, new_us = timeouts.attempt_timeouts_us(state, message, call)
+    reused_timeout_us, new_timeout_us = timeouts.attempt_timeouts_us(state, message, call)
     state.start_attempt(message, call)
-    expected_timeout_us = new_us if call.connection_idle_us < 0 else reused_us
+    timeout_us = new_timeout_us if call.connection_idle_us < 0 else reused_timeout_us
     action = model.SendAttempt(
-        message.id, call.endpoint.id, expected_timeout_us, new_us, call.require_new_connection
+        message.id, call.endpoint.id, timeout_us, new_timeout_us, call.require_new_connection
     )
     state.actions.append(action)
 
 
 def record_outcome(state: PolicyState, event: model.AttemptEnded) -> None:
-    """Record the outcome of an ended attempt, then finish, retry or remove its message."""
+    """Record the outcome of an ended attempt, then retry, finish or close its message.
+
+    An unknown attempt is ignored.
+    """
     call, message = state.calls.pop((event.message, event.attempt), (None, None))
     if call is None or message is None:
         return
@@ -102,7 +109,7 @@
     message.in_flight -= 1
     _release_connection(state, call, event)
     group = call.endpoint.group
-    if event.retry_after_us:  # honored for each message: they may differ within a batch
+    if event.retry_after_us:  # honored for each attempt of a call, since the values may differ within a batch
         until_us = state.now_us + event.retry_after_us + RETRY_AFTER_ROUNDING_US
         group.retry_after_until_us = max(group.retry_after_until_us, until_us)
     _record_call_outcome(state, call, event)
@@ -123,11 +130,11 @@
     endpoint = call.endpoint
     if event.new_connection is not None and event.new_connection != (call.connection_idle_us < 0):
         call.connection_idle_us = -1 if event.new_connection else 0
-        if event.new_connection:  # the server had no idle connection, contrary to this record
+        if event.new_connection:  # the server had no idle connection, although one is recorded here
             endpoint.idle_connections_since_us.clear()
     if call.open_attempts:
         return
-    state.add_calls_in_flight(call, -1)
+    state.change_calls_in_flight(call, -1)
     endpoint.in_flight.pop(id(call), None)
     if event.result in (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED):
         if state.statistics.idle_reuse_limit_us or endpoint.group.destination.queue:
@@ -159,8 +166,8 @@
 def _is_inconclusive(call: Call, event: model.AttemptEnded) -> bool:
     """Return whether the attempt's result shows nothing about its call.
 
-    A cancelled attempt and one that was never made are inconclusive. So is a time-out or a failed connection
-    while other messages of the batch are open: that message's deadline came before the end of the call.
+    A cancelled attempt and one that was not made are inconclusive. So is a time-out or a failed connection
+    while other attempts of the batch are open: the deadline of the message came before the end of the call.
     """
     if event.result in (AttemptResult.CANCELLED, AttemptResult.NOT_ATTEMPTED):
         return True
