--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -1,4 +1,4 @@
-"""Drives one delivery policy without a server, for the tests of its decisions."""
+"""Runs a delivery policy without a server: the tests supply its events and check its actions."""
 
 from message_relay.model import (
     AttemptEnded,
@@ -16,8 +16,7 @@
 )
 from message_relay.policy.delivery_policy import DeliveryPolicy
 
-SECOND = 1_000_000
-
+SECOND = 1_000_000  # in microseconds
 
 CLASSES = (
     MessageClass("safe", latency_objective_us=SECOND, deadline_us=10 * SECOND),
@@ -35,7 +34,10 @@
 
 
 class PolicyDriver:
-    """Feeds events to a policy on a clock of its own and counts the attempts that it starts."""
+    """Passes events to a policy, advances its clock, and counts the attempts of each message.
+
+    `latest_attempts` maps each message to the number of its latest attempt, counted from 0.
+    """
 
     def __init__(self, endpoints=1, rate=0.0, **changes):
         settings = {
@@ -50,7 +52,7 @@
         }
         settings.update(changes)
         self.policy = DeliveryPolicy(Settings(**settings), 7)
-        self.now, self.last_message, self.attempts_sent = 1000 * SECOND, 0, {}
+        self.now_us, self.last_message, self.latest_attempts = 1000 * SECOND, 0, {}
         self.run_tick(
             EndpointListReceived(
                 EndpointListForm.CACHED,
@@ -58,88 +60,94 @@
             )
         )
 
-    def run_tick(self, *events, after=0):
-        """One tick, so many microseconds after the last; returns the actions."""
-        self.now += after
-        actions = self.policy.handle(self.now, list(events))
+    def run_tick(self, *events, after_us=0):
+        """Run a tick `after_us` microseconds after the previous one; return the actions."""
+        self.now_us += after_us
+        actions = self.policy.handle(self.now_us, list(events))
         for action in actions:
             if isinstance(action, SendAttempt):
-                self.attempts_sent[action.message] = self.attempts_sent.get(action.message, -1) + 1
+                self.latest_attempts[action.message] = self.latest_attempts.get(action.message, -1) + 1
         return actions
 
-    def submit(self, message_class=0, destination=1, lifetime=None, after=0):
-        """A new message; returns the actions of the tick."""
+    def submit(self, message_class=0, destination=1, lifetime_us=None, after_us=0):
+        """Submit a new message in a tick of its own; return the actions of the tick.
+
+        Without `lifetime_us`, the deadline is that of the class.
+        """
         self.last_message += 1
-        deadline_us = self.now + after + (lifetime or CLASSES[message_class].deadline_us)
+        deadline_us = self.now_us + after_us + (lifetime_us or CLASSES[message_class].deadline_us)
         return self.run_tick(
-            MessageSubmitted(self.last_message, message_class, destination, deadline_us), after=after
+            MessageSubmitted(self.last_message, message_class, destination, deadline_us), after_us=after_us
         )
 
-    def end_attempt(self, message, result, latency=100_000, after=100_000, endpoint=100, retry_after=0):
-        """The message's latest attempt ends with this result; times are microseconds."""
+    def end_attempt(
+        self, message, result, latency_us=100_000, after_us=100_000, endpoint=100, retry_after_us=0
+    ):
+        """End the message's latest attempt with the result; return the actions of the tick."""
         return self.run_tick(
             AttemptEnded(
                 message,
-                self.attempts_sent[message],
+                self.latest_attempts[message],
                 endpoint,
                 result,
-                latency,
+                latency_us,
                 result is AttemptResult.OK,
-                retry_after,
+                retry_after_us,
             ),
-            after=after,
+            after_us=after_us,
         )
 
-    def advance(self, seconds, step=0.05):
-        """Empty ticks for so long; returns the actions of all."""
+    def advance(self, seconds, step_s=0.05):
+        """Run ticks without events, `step_s` apart, for this time; return the actions of all."""
         actions = []
-        for _ in range(round(seconds / step)):
-            actions += self.run_tick(after=int(step * SECOND))
+        for _ in range(round(seconds / step_s)):
+            actions += self.run_tick(after_us=int(step_s * SECOND))
         return actions
 
 
-def actions_of(kind, actions):
-    """The actions of that type."""
-    return [action for action in actions if isinstance(action, kind)]
+def actions_of(action_type, actions):
+    """Return the actions that are of the type."""
+    return [action for action in actions if isinstance(action, action_type)]
 
 
 def warm_up(driver, messages=12):
-    """Messages that are delivered one after the other, so that the concurrency window grows."""
+    """Deliver messages one after the other, so that the concurrency window grows."""
     for _ in range(messages):
-        driver.submit(after=300_000)
+        driver.submit(after_us=300_000)
         driver.end_attempt(driver.last_message, AttemptResult.OK)
 
 
-def serve(driver, seconds, result, per_s=10):
-    """Submit messages, end each attempt with the result a tick later; returns the count of attempts."""
-    sends, pending = 0, []
-    for step in range(round(seconds * 20)):
+def submit_and_end(driver, seconds, result, messages_per_s=10):
+    """Submit messages and end each attempt with the result one tick later; return the number of attempts."""
+    attempts, in_flight = 0, []
+    for tick in range(round(seconds * 20)):
         actions = []
-        for action in pending:
-            actions += driver.end_attempt(action.message, result, latency=50_000, after=0)
+        for action in in_flight:
+            actions += driver.end_attempt(action.message, result, latency_us=50_000, after_us=0)
         actions += (
-            driver.submit(lifetime=SECOND, after=50_000)
-            if step * per_s % 20 < per_s
-            else driver.run_tick(after=50_000)
+            driver.submit(lifetime_us=SECOND, after_us=50_000)
+            if tick * messages_per_s % 20 < messages_per_s
+            else driver.run_tick(after_us=50_000)
         )
-        pending = actions_of(SendAttempt, actions)
-        sends += len(pending)
-    for action in pending:
-        driver.end_attempt(action.message, result, latency=50_000, after=0)
-    return sends
+        in_flight = actions_of(SendAttempt, actions)
+        attempts += len(in_flight)
+    for action in in_flight:
+        driver.end_attempt(action.message, result, latency_us=50_000, after_us=0)
+    return attempts
 
 
 def large_fleet(**changes):
-    """One of a hundred instances with four slots each."""
+    """Return the driver of one of a hundred instances with four slots each."""
     return PolicyDriver(**{"instance_count": 100, "call_slots": 4, **changes})
 
 
 def mid_size_fleet(**changes):
-    """One of forty instances with four slots each, which read load reports."""
+    """Return the driver of one of forty instances with four slots each, which read load reports."""
     return PolicyDriver(
         **{"instance_count": 40, "call_slots": 4, "load_report_fields": ("x0", "x1"), **changes}
     )
 
 
 def endpoint_entry(endpoint, destination=1, state=EndpointState.READY, rate=0.0):
+    """Return an entry of an endpoint list, by default of a ready endpoint of destination 1."""
     return EndpointEntry(endpoint, destination, state, rate)
--- a/tests/test_delivery_policy.py
+++ b/tests/test_delivery_policy.py
@@ -55,9 +55,9 @@
     )
     warm_up(driver)
     for _ in range(6):  # calls to destination 2 take ten times as long
-        driver.submit(destination=2, after=300_000)
+        driver.submit(destination=2, after_us=300_000)
         driver.end_attempt(
-            driver.last_message, AttemptResult.OK, latency=1_000_000, after=1_000_000, endpoint=200
+            driver.last_message, AttemptResult.OK, latency_us=1_000_000, after_us=1_000_000, endpoint=200
         )
     driver.submit()
     in_flight_message = driver.last_message
@@ -65,8 +65,8 @@
     queued_message = driver.last_message
     for destination in (2, 1, 2, 1):
         driver.submit(destination=destination)
-    driver.advance(0.9, step=0.3)
-    actions = driver.end_attempt(in_flight_message, AttemptResult.OK, after=0)
+    driver.advance(0.9, step_s=0.3)
+    actions = driver.end_attempt(in_flight_message, AttemptResult.OK, after_us=0)
     assert queued_message and [action.endpoint for action in actions_of(SendAttempt, actions)] == [100]
 
 
@@ -80,8 +80,8 @@
         driver.submit(message_class)
     sends = actions_of(SendAttempt, driver.end_attempt(1, AttemptResult.OK))
     assert [action.message for action in sends] == [2, 3]  # one call: the window allows two
-    driver.run_tick(AttemptEnded(2, 0, 100, result, 100_000, message_ended=True), after=100_000)
-    driver.end_attempt(3, AttemptResult.OK, after=0)
+    driver.run_tick(AttemptEnded(2, 0, 100, result, 100_000, message_ended=True), after_us=100_000)
+    driver.end_attempt(3, AttemptResult.OK, after_us=0)
     # The window allows three calls after the success.
     assert sum(len(actions_of(SendAttempt, driver.submit())) for _ in range(4)) >= 3
 
@@ -92,6 +92,6 @@
     for _ in range(2):
         driver.submit()
     driver.end_attempt(1, AttemptResult.OK)
-    driver.end_attempt(2, AttemptResult.TIMEOUT, after=2 * SECOND)
-    driver.end_attempt(3, AttemptResult.TIMEOUT, after=0)
+    driver.end_attempt(2, AttemptResult.TIMEOUT, after_us=2 * SECOND)
+    driver.end_attempt(3, AttemptResult.TIMEOUT, after_us=0)
     assert driver.policy.state.endpoints[100].failure_rate > 0
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -25,7 +25,7 @@
     driver = large_fleet()
     driver.submit()
     assert not actions_of(CloseIdleConnections, driver.end_attempt(1, AttemptResult.OK))
-    assert not actions_of(CloseIdleConnections, driver.submit(after=4 * SECOND))
+    assert not actions_of(CloseIdleConnections, driver.submit(after_us=4 * SECOND))
     ((call, _),) = driver.policy.state.calls.values()
     # A new connection would cost another handshake, and occupy one of few slots during it.
     assert call.connection_idle_us == 4 * SECOND
@@ -41,7 +41,7 @@
     driver = PolicyDriver()
 
     def send_call(idle_us, result):
-        driver.policy.state.endpoints[100].idle_connections_since_us = [driver.now - idle_us]
+        driver.policy.state.endpoints[100].idle_connections_since_us = [driver.now_us - idle_us]
         circuit = driver.policy.state.endpoints[100].circuit
         (
             circuit.open,
@@ -77,16 +77,16 @@
 def test_advertised_rate_limits_a_large_fleet_only_after_a_rejection():
     driver = large_fleet(rate=10.0)  # a share of 0.1 a second
     for _ in range(5):
-        assert actions_of(SendAttempt, driver.submit(after=100_000))
+        assert actions_of(SendAttempt, driver.submit(after_us=100_000))
         driver.end_attempt(driver.last_message, AttemptResult.OK)
     driver.submit()
     driver.end_attempt(driver.last_message, AttemptResult.REJECTED)
     assert driver.policy.state.endpoints[100].group.rate_limit_per_s > 0
     sends = 0
     for _ in range(40):
-        sends += len(actions_of(SendAttempt, driver.submit(lifetime=30 * SECOND, after=250_000)))
+        sends += len(actions_of(SendAttempt, driver.submit(lifetime_us=30 * SECOND, after_us=250_000)))
         for key in list(driver.policy.state.calls):
-            driver.end_attempt(key[0], AttemptResult.OK, after=0)
+            driver.end_attempt(key[0], AttemptResult.OK, after_us=0)
     assert sends <= 0.1 * 10 * 2 + 1
 
 
@@ -112,24 +112,26 @@
         for instance in range(instance_count)
     ]
     endpoint_list = EndpointListReceived(EndpointListForm.CACHED, (endpoint_entry(100, rate=rate),))
-    calls, sent, now, message = [], [], 1000 * SECOND, 0
+    calls, sent, now_us, message = [], [], 1000 * SECOND, 0
     for policy in policies:
-        policy.handle(now, [endpoint_list])
+        policy.handle(now_us, [endpoint_list])
     for step in range(4000):  # 40 s, 40 messages a second, spread over the instances in a fixed order
-        now += 10_000
+        now_us += 10_000
         inbox = {}
         if step % 2 == 0 and step % 5:
             message += 1
-            inbox[message * 37 % instance_count] = [MessageSubmitted(message, 0, 1, now + 10 * SECOND)]
-        for (_, instance), event in [x for x in calls if x[0][0] <= now]:
+            inbox[message * 37 % instance_count] = [MessageSubmitted(message, 0, 1, now_us + 10 * SECOND)]
+        for (_, instance), event in [x for x in calls if x[0][0] <= now_us]:
             inbox.setdefault(instance, []).append(event)
-        calls = [x for x in calls if x[0][0] > now]
+        calls = [x for x in calls if x[0][0] > now_us]
         for instance in range(instance_count) if step % 20 == 0 else sorted(inbox):
-            for action in policies[instance].handle(now, inbox.get(instance, [])):
+            for action in policies[instance].handle(now_us, inbox.get(instance, [])):
                 if isinstance(action, SendAttempt):
-                    sent.append((now, policies[instance].state.endpoints[100].circuit.failure_rate > 0))
+                    sent.append((now_us, policies[instance].state.endpoints[100].circuit.failure_rate > 0))
                     attempt = policies[instance].state.messages[action.message].attempts - 1
-                    calls.append(((now + 50_000, instance), attempt_ended(action.message, attempt, result)))
+                    calls.append(
+                        ((now_us + 50_000, instance), attempt_ended(action.message, attempt, result))
+                    )
     calls_per_s_after_failure = (
         sum(1 for at, after_failure in sent if after_failure and at > 1000 * SECOND + 20 * SECOND) / 20
     )
@@ -143,7 +145,7 @@
 def test_single_fast_failure_is_retried_and_causes_no_slow_start():
     driver = large_fleet(rate=10.0)
     driver.submit()
-    actions = driver.end_attempt(1, AttemptResult.CONNECT_FAILED, latency=20_000)
+    actions = driver.end_attempt(1, AttemptResult.CONNECT_FAILED, latency_us=20_000)
     assert driver.policy.state.endpoints[100].circuit.open  # other messages wait for the slow start
     assert not [
         action
@@ -163,10 +165,10 @@
         driver.policy.state.random.seed(seed)
         driver.submit()
         # A Retry-After of this length means that the destination was shut down.
-        driver.end_attempt(1, AttemptResult.REJECTED, retry_after=8 * SECOND)
+        driver.end_attempt(1, AttemptResult.REJECTED, retry_after_us=8 * SECOND)
         actions = []
         for _ in range(8):
-            actions += driver.submit(after=SECOND * 95 // 100)
+            actions += driver.submit(after_us=SECOND * 95 // 100)
         assert not actions_of(SendAttempt, actions)
         sent_after_wait += len(
             actions_of(SendAttempt, driver.advance(2))
@@ -206,19 +208,19 @@
 def test_where_calls_are_rejected_a_share_of_new_messages_is_rejected_unsent():
     driver = large_fleet()  # no rate is advertised
     for _ in range(6):
-        for action in actions_of(SendAttempt, driver.submit(after=3 * SECOND)):
+        for action in actions_of(SendAttempt, driver.submit(after_us=3 * SECOND)):
             driver.end_attempt(action.message, AttemptResult.REJECTED)
     rejected_unsent = 0
     for _ in range(30):
-        actions = driver.submit(after=SECOND)
+        actions = driver.submit(after_us=SECOND)
         rejected_unsent += len(actions_of(RejectMessage, actions))
         for action in actions_of(SendAttempt, actions):
             driver.end_attempt(action.message, AttemptResult.REJECTED)
     assert 15 < rejected_unsent < 30
     for _ in range(60):
-        for action in actions_of(SendAttempt, driver.submit(after=SECOND) + driver.advance(0.2)):
+        for action in actions_of(SendAttempt, driver.submit(after_us=SECOND) + driver.advance(0.2)):
             driver.end_attempt(action.message, AttemptResult.OK)
-    assert not sum(len(actions_of(RejectMessage, driver.submit(after=SECOND))) for _ in range(10))
+    assert not sum(len(actions_of(RejectMessage, driver.submit(after_us=SECOND))) for _ in range(10))
 
 
 def test_message_that_cannot_be_sent_in_time_is_rejected_at_once():
@@ -226,7 +228,8 @@
     driver.submit()
     driver.end_attempt(driver.last_message, AttemptResult.REJECTED)
     rejected = sum(
-        len(actions_of(RejectMessage, driver.submit(lifetime=4 * SECOND, after=50_000))) for _ in range(5)
+        len(actions_of(RejectMessage, driver.submit(lifetime_us=4 * SECOND, after_us=50_000)))
+        for _ in range(5)
     )
     assert rejected >= 4
 
@@ -270,7 +273,9 @@
     assert not actions_of(SendAttempt, driver.submit())
     assert actions_of(
         SendAttempt,
-        driver.run_tick(EndpointListReceived(EndpointListForm.DELTA, (endpoint_entry(100),)), after=SECOND),
+        driver.run_tick(
+            EndpointListReceived(EndpointListForm.DELTA, (endpoint_entry(100),)), after_us=SECOND
+        ),
     )
     driver.end_attempt(driver.last_message, AttemptResult.OK)
     driver.run_tick(EndpointListReceived(EndpointListForm.DELTA, (endpoint_entry(100, destination=2),)))
@@ -281,7 +286,7 @@
 
 def test_message_for_a_destination_without_endpoints_is_rejected_in_time():
     driver = PolicyDriver()
-    driver.submit(destination=9, lifetime=2 * SECOND)
+    driver.submit(destination=9, lifetime_us=2 * SECOND)
     assert (
         actions_of(RejectMessage, driver.advance(2.1))
         and not actions_of(FailMessage, driver.advance(0.1))
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -89,5 +89,5 @@
     assert group.advertised_rate_per_s == pytest.approx(factor) and group.rate_limit_per_s == pytest.approx(
         1.5 * factor
     )
-    sends = sum(len(actions_of(SendAttempt, driver.submit(after=1000))) for _ in range(200))
+    sends = sum(len(actions_of(SendAttempt, driver.submit(after_us=1000))) for _ in range(200))
     assert sends <= 4  # no burst beyond the call slots, for either factor
--- a/tests/test_mid_size_fleet.py
+++ b/tests/test_mid_size_fleet.py
@@ -18,7 +18,7 @@
 def test_failing_endpoint_opens_no_other_circuit_at_forty_instances():
     driver = mid_size_fleet(endpoints=2)
     for _ in range(6):  # each message is retried elsewhere until the failures are detected
-        for action in actions_of(SendAttempt, driver.submit(after=SECOND)):
+        for action in actions_of(SendAttempt, driver.submit(after_us=SECOND)):
             driver.end_attempt(
                 action.message,
                 AttemptResult.CONNECT_FAILED if action.endpoint == 100 else AttemptResult.OK,
@@ -31,9 +31,9 @@
                 endpoint=action.endpoint,
             )
     circuit = driver.policy.state.endpoints[100].circuit
-    circuit.open, circuit.half_open_at_us = True, driver.now + 60 * SECOND
+    circuit.open, circuit.half_open_at_us = True, driver.now_us + 60 * SECOND
     assert not driver.policy.state.endpoints[101].circuit.open
-    assert [action.endpoint for action in actions_of(SendAttempt, driver.submit(after=SECOND))] == [101]
+    assert [action.endpoint for action in actions_of(SendAttempt, driver.submit(after_us=SECOND))] == [101]
 
 
 def test_one_lost_connection_opens_no_circuit_at_forty_instances():
@@ -69,7 +69,7 @@
     driver = mid_size_fleet(endpoints=4)
     used_endpoints = set()
     for _ in range(10):
-        (action,) = actions_of(SendAttempt, driver.submit(after=100_000))
+        (action,) = actions_of(SendAttempt, driver.submit(after_us=100_000))
         used_endpoints.add(action.endpoint)
         driver.end_attempt(action.message, AttemptResult.OK, endpoint=action.endpoint)
     assert (
@@ -88,7 +88,7 @@
         instance_count=instance_count,
         tick_interval_us=5000,
     )
-    now, counts = 1000 * SECOND, [0, 0]
+    now_us, counts = 1000 * SECOND, [0, 0]
     policies = [
         DeliveryPolicy(Settings(instance_index=instance, **settings), instance)
         for instance in range(instance_count)
@@ -96,10 +96,10 @@
     in_flight = {}
     for instance, policy in enumerate(policies):  # restored messages, or ones submitted during the start
         events = [EndpointListReceived(EndpointListForm.CACHED, (endpoint_entry(100),))]
-        events += [MessageSubmitted(n, 0, 1, now + 10 * SECOND) for n in range(1, 7)]
-        in_flight[instance] = actions_of(SendAttempt, policy.handle(now, events))
+        events += [MessageSubmitted(n, 0, 1, now_us + 10 * SECOND) for n in range(1, 7)]
+        in_flight[instance] = actions_of(SendAttempt, policy.handle(now_us, events))
     for step in range(200):  # 2 s; a response takes 100 ms and reports the limit
-        now += 10_000
+        now_us += 10_000
         for instance, policy in enumerate(policies):
             events = []
             for action in in_flight.pop(instance, []) if step % 10 == 9 else []:
@@ -116,7 +116,7 @@
                         0,
                     ),
                 ]
-            in_flight.setdefault(instance, []).extend(actions_of(SendAttempt, policy.handle(now, events)))
+            in_flight.setdefault(instance, []).extend(actions_of(SendAttempt, policy.handle(now_us, events)))
     # Each instance sends one call at first, without its share of the limit on top of it.
     assert instance_count <= counts[0] <= 1.2 * instance_count
     assert counts[1] >= 0.7 * limit
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -1,6 +1,6 @@
 """Retry-After, the rate limit and its token bucket, and limits from load reports."""
 
-from policy_driver import SECOND, PolicyDriver, actions_of, serve, warm_up
+from policy_driver import SECOND, PolicyDriver, actions_of, submit_and_end, warm_up
 
 from message_relay.model import (
     AttemptEnded,
@@ -18,7 +18,7 @@
 def test_retry_after_holds_for_every_message():
     driver = PolicyDriver()
     driver.submit()
-    driver.end_attempt(1, AttemptResult.REJECTED, retry_after=SECOND)
+    driver.end_attempt(1, AttemptResult.REJECTED, retry_after_us=SECOND)
     sent = actions_of(SendAttempt, driver.submit() + driver.advance(0.95))
     assert not sent
     assert actions_of(SendAttempt, driver.advance(0.2))
@@ -34,11 +34,11 @@
     driver.submit()
     actions = driver.run_tick(
         EndpointListReceived(EndpointListForm.DELTA, (EndpointEntry(100, 1, EndpointState.READY),)),
-        after=SECOND,
+        after_us=SECOND,
     )
     first, second = actions_of(SendAttempt, actions)
-    driver.end_attempt(first.message, AttemptResult.REJECTED, retry_after=0, after=0)
-    driver.end_attempt(second.message, AttemptResult.REJECTED, retry_after=2 * SECOND, after=0)
+    driver.end_attempt(first.message, AttemptResult.REJECTED, retry_after_us=0, after_us=0)
+    driver.end_attempt(second.message, AttemptResult.REJECTED, retry_after_us=2 * SECOND, after_us=0)
     assert not actions_of(SendAttempt, driver.submit() + driver.advance(1.95))
     assert actions_of(SendAttempt, driver.advance(0.2))
 
@@ -46,13 +46,13 @@
 def test_rate_grows_slowly_near_the_last_rejected_rate():
     def rate_increase(with_rejection):
         driver = PolicyDriver(rate=4.0, instance_count=2)
-        serve(driver, 3, AttemptResult.OK)
+        submit_and_end(driver, 3, AttemptResult.OK)
         if with_rejection:
             for action in actions_of(SendAttempt, driver.submit() + driver.advance(1)):
                 driver.end_attempt(action.message, AttemptResult.REJECTED)
         group = driver.policy.state.endpoints[100].group
         group.last_rejected_rate_per_s = group.rate_limit_per_s = 2.0
-        serve(driver, 3, AttemptResult.OK)
+        submit_and_end(driver, 3, AttemptResult.OK)
         return group.rate_limit_per_s - 2.0
 
     assert 0 < rate_increase(True) < 0.7 * rate_increase(False)
@@ -74,19 +74,19 @@
     driver.end_attempt(1, AttemptResult.OK)
     driver.submit()
     # From here on the rate limit is one call in two seconds.
-    driver.end_attempt(2, AttemptResult.REJECTED, retry_after=SECOND)
+    driver.end_attempt(2, AttemptResult.REJECTED, retry_after_us=SECOND)
     driver.advance(4)
     for n in range(3, 7):
         assert [action.message for action in actions_of(SendAttempt, driver.submit())] == [n]
         driver.run_tick(
             AttemptEnded(n, 0, 100, AttemptResult.NOT_ATTEMPTED, 1000, message_ended=True),
-            after=SECOND // 100,
+            after_us=SECOND // 100,
         )
 
 
 def sends_in_a_second(driver, limit):
     """Report the limit, submit twelve messages, and return the number of calls sent within a second."""
-    actions, sent = driver.run_tick(LoadReportReceived(100, (0.5, limit)), after=SECOND), 0
+    actions, sent = driver.run_tick(LoadReportReceived(100, (0.5, limit)), after_us=SECOND), 0
     for _ in range(12):
         actions += driver.submit()
     for _ in range(40):
@@ -94,7 +94,7 @@
         sent += len(sends)
         actions = driver.run_tick(
             *(AttemptEnded(action.message, 0, 100, AttemptResult.OK, 20_000, True) for action in sends),
-            after=SECOND // 40,
+            after_us=SECOND // 40,
         )
     return sent
 
--- a/tests/test_restored_messages.py
+++ b/tests/test_restored_messages.py
@@ -20,14 +20,20 @@
     """A policy that receives restored messages in its first tick and new messages afterwards."""
 
     def __init__(
-        self, instance_count, message_class, lifetime, latency, result=AttemptResult.OK, retry_after=0
+        self,
+        instance_count,
+        message_class,
+        lifetime_us,
+        latency_us,
+        result=AttemptResult.OK,
+        retry_after_us=0,
     ):
         self.driver = PolicyDriver(
             call_slots=SLOTS, instance_count=instance_count, max_open_messages=RESTORED + 4
         )
-        self.latency, self.result, self.retry_after = latency, result, retry_after
+        self.latency_us, self.result, self.retry_after_us = latency_us, result, retry_after_us
         self.attempted, self.ended, self.in_flight = [], [], []
-        deadline_us = self.driver.now + lifetime
+        deadline_us = self.driver.now_us + lifetime_us
         restored = (
             MessageSubmitted(n, message_class, 1, deadline_us, restored=True) for n in range(1, RESTORED + 1)
         )
@@ -37,7 +43,7 @@
     def record(self, actions):
         self.attempted += [action.message for action in actions_of(SendAttempt, actions)]
         self.in_flight += [
-            (self.driver.now + self.latency, action.message, action.endpoint)
+            (self.driver.now_us + self.latency_us, action.message, action.endpoint)
             for action in actions_of(SendAttempt, actions)
         ]
         self.ended += [
@@ -46,13 +52,15 @@
 
     def run(self, seconds, new_messages=0):
         for step in range(round(seconds * 20)):
-            self.driver.now += 50_000
+            self.driver.now_us += 50_000
             self.record(self.driver.run_tick())
-            for due in [x for x in self.in_flight if x[0] <= self.driver.now]:
+            for due in [x for x in self.in_flight if x[0] <= self.driver.now_us]:
                 self.in_flight.remove(due)
-                result, retry_after = self.result, self.retry_after
-                self.result, self.retry_after = AttemptResult.OK, 0  # for all attempts after the first
-                self.record(self.driver.end_attempt(due[1], result, self.latency, 0, due[2], retry_after))
+                result, retry_after_us = self.result, self.retry_after_us
+                self.result, self.retry_after_us = AttemptResult.OK, 0  # for all attempts after the first
+                self.record(
+                    self.driver.end_attempt(due[1], result, self.latency_us, 0, due[2], retry_after_us)
+                )
             for _ in range(new_messages if step % 2 else 0):
                 self.record(self.driver.submit(message_class=0))
         return {n for n in self.attempted if n <= RESTORED}
@@ -77,7 +85,7 @@
 @pytest.mark.parametrize("instance_count", [SMALL, LARGE])
 def test_rejection_ends_one_restored_message_and_the_others_follow_after_the_wait(instance_count):
     restarted = RestartedPolicy(
-        instance_count, 0, 9 * SECOND, 100_000, AttemptResult.REJECTED, retry_after=300_000
+        instance_count, 0, 9 * SECOND, 100_000, AttemptResult.REJECTED, retry_after_us=300_000
     )
     assert len(restarted.run(9, new_messages=1)) == RESTORED
     assert [n for n in restarted.ended if n <= RESTORED] == [1]
@@ -96,11 +104,14 @@
     driver = PolicyDriver()
     lifetimes_s = {1: 9, 2: 4, 3: 6}
     driver.run_tick(
-        *(MessageSubmitted(n, 0, 1, driver.now + s * SECOND, restored=True) for n, s in lifetimes_s.items())
+        *(
+            MessageSubmitted(n, 0, 1, driver.now_us + s * SECOND, restored=True)
+            for n, s in lifetimes_s.items()
+        )
     )
     driver.end_attempt(2, AttemptResult.OK)
     driver.end_attempt(3, AttemptResult.OK)
-    assert list(driver.attempts_sent) == [2, 3, 1]
+    assert list(driver.latest_attempts) == [2, 3, 1]
 
 
 @pytest.mark.parametrize("instance_count", [SMALL, LARGE])
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -30,7 +30,7 @@
 def test_overload_rejects_the_message_with_the_retry_after_of_the_endpoint():
     driver = PolicyDriver()
     driver.submit(message_class=2)
-    actions = driver.end_attempt(1, AttemptResult.REJECTED, retry_after=SECOND)
+    actions = driver.end_attempt(1, AttemptResult.REJECTED, retry_after_us=SECOND)
     assert actions_of(RejectMessage, actions) == [RejectMessage(1, SECOND)]
 
 
@@ -64,23 +64,23 @@
 
 def test_every_message_is_answered_before_its_deadline():
     driver = PolicyDriver(endpoints=0)
-    driver.submit(message_class=2, lifetime=SECOND)
-    actions = driver.advance(0.98, step=0.005)
+    driver.submit(message_class=2, lifetime_us=SECOND)
+    actions = driver.advance(0.98, step_s=0.005)
     assert not actions_of(RejectMessage, actions)
-    assert actions_of(RejectMessage, driver.advance(0.02, step=0.005)) == [RejectMessage(1, 0)]
+    assert actions_of(RejectMessage, driver.advance(0.02, step_s=0.005)) == [RejectMessage(1, 0)]
 
 
 def test_rejected_message_is_retried_where_clients_do_not_resubmit():
     driver = PolicyDriver(clients_mark_retries=True, classes=CLASSES)
     driver.policy.state.rejections_since_resubmission = 20
     driver.submit()
-    actions = driver.end_attempt(1, AttemptResult.REJECTED, retry_after=SECOND)
+    actions = driver.end_attempt(1, AttemptResult.REJECTED, retry_after_us=SECOND)
     assert (
         not actions_of(RejectMessage, actions)
         and not actions_of(SendAttempt, actions + driver.advance(0.95))
         and actions_of(SendAttempt, driver.advance(4))
     )
-    deadline_us = driver.now + 10 * SECOND
+    deadline_us = driver.now_us + 10 * SECOND
     driver.run_tick(MessageSubmitted(99, 0, 1, deadline_us, resubmitted=True))
     assert actions_of(RejectMessage, driver.end_attempt(1, AttemptResult.REJECTED))
 
@@ -89,9 +89,9 @@
     driver = PolicyDriver(slow_start_us=10 * SECOND)
     warm_up(driver)
     driver.submit()
-    driver.end_attempt(driver.last_message, AttemptResult.ERROR, after=50_000)
+    driver.end_attempt(driver.last_message, AttemptResult.ERROR, after_us=50_000)
     if actions_of(SendAttempt, driver.advance(0.3)):
-        driver.end_attempt(driver.last_message, AttemptResult.ERROR, after=500_000)
+        driver.end_attempt(driver.last_message, AttemptResult.ERROR, after_us=500_000)
     driver.policy.state.messages.clear()
     driver.policy.state.destinations[1].queue.clear()
     early = actions_of(SendAttempt, driver.submit(message_class=2) + driver.advance(1))
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -20,7 +20,7 @@
     """Send calls one after the other, of which one in ``calls_per_reset`` is reset and the others succeed."""
     endpoint = driver.policy.state.endpoints[100]
     for n in range(2 * calls_per_reset):
-        endpoint.idle_connections_since_us = [driver.now - SECOND // 10] if reused else []
+        endpoint.idle_connections_since_us = [driver.now_us - SECOND // 10] if reused else []
         (
             endpoint.circuit.open,
             endpoint.circuit.slow_start_since_us,
@@ -40,13 +40,13 @@
                 succeeded,
                 new_connection=not reused,
             ),
-            after=100_000,
+            after_us=100_000,
         )
         driver.advance(1)
 
 
 def requires_new_connection(driver):
-    driver.policy.state.endpoints[100].idle_connections_since_us = [driver.now - SECOND // 10]
+    driver.policy.state.endpoints[100].idle_connections_since_us = [driver.now_us - SECOND // 10]
     return actions_of(SendAttempt, driver.submit(message_class=2))[0].require_new_connection
 
 
@@ -71,7 +71,7 @@
     """Send one call, on a connection that was idle or on a new one, and return its SendAttempt actions."""
     endpoint = driver.policy.state.endpoints[100]
     endpoint.idle_connections_since_us = (
-        [driver.now - (4 * SECOND if result is AttemptResult.TIMEOUT else SECOND // 10)] if reused else []
+        [driver.now_us - (4 * SECOND if result is AttemptResult.TIMEOUT else SECOND // 10)] if reused else []
     )
     (
         endpoint.circuit.open,
@@ -91,7 +91,7 @@
             result is AttemptResult.OK,
             new_connection=not reused,
         ),
-        after=100_000,
+        after_us=100_000,
     )
     driver.advance(1)
     return sent
@@ -138,10 +138,10 @@
     )
     driver.submit(destination=3)
     driver.run_tick(
-        MessageSubmitted(50, 3, 2, driver.now + 10 * SECOND),
-        *(MessageSubmitted(60 + n, 0, 1, driver.now + 10 * SECOND) for n in range(message_count)),
+        MessageSubmitted(50, 3, 2, driver.now_us + 10 * SECOND),
+        *(MessageSubmitted(60 + n, 0, 1, driver.now_us + 10 * SECOND) for n in range(message_count)),
     )
-    actions = driver.run_tick(AttemptEnded(1, 0, 300, AttemptResult.OK, 100_000, True), after=100_000)
+    actions = driver.run_tick(AttemptEnded(1, 0, 300, AttemptResult.OK, 100_000, True), after_us=100_000)
     return [action.message for action in actions_of(SendAttempt, actions)]
 
 
@@ -167,9 +167,9 @@
             driver.end_attempt(driver.last_message, AttemptResult.OK, endpoint=100 * destination)
         driver.submit(message_class=2, destination=2)
         # One lost call among successful ones.
-        driver.end_attempt(driver.last_message, AttemptResult.TIMEOUT, latency=4 * SECOND, endpoint=200)
+        driver.end_attempt(driver.last_message, AttemptResult.TIMEOUT, latency_us=4 * SECOND, endpoint=200)
         occupying_message = driver.last_message + 1
-        driver.submit(destination=3, after=int(pause_s * SECOND))
+        driver.submit(destination=3, after_us=int(pause_s * SECOND))
         for destination in (2, 1):
             driver.submit(destination=destination)
         return actions_of(SendAttempt, driver.end_attempt(occupying_message, AttemptResult.OK, endpoint=300))[
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,7 +1,7 @@
 """Slow start after an outage: its rate, its end, and how the endpoints of a group share it."""
 
 import pytest
-from policy_driver import SECOND, PolicyDriver, actions_of, large_fleet, mid_size_fleet, serve
+from policy_driver import SECOND, PolicyDriver, actions_of, large_fleet, mid_size_fleet, submit_and_end
 
 from message_relay.model import (
     AttemptEnded,
@@ -17,13 +17,13 @@
 )
 def test_recovery_starts_slowly_and_reaches_the_full_rate(failure):
     driver = PolicyDriver(rate=8.0, slow_start_share=0.1, slow_start_us=10 * SECOND, overload_factor=2.5)
-    serve(driver, 5, AttemptResult.OK)
-    sent_in_outage = serve(driver, 6, failure)
+    submit_and_end(driver, 5, AttemptResult.OK)
+    sent_in_outage = submit_and_end(driver, 6, failure)
     assert driver.policy.state.endpoints[100].circuit.open and sent_in_outage < 20
     first, _, last = (
-        serve(driver, 4, AttemptResult.OK),
-        serve(driver, 8, AttemptResult.OK),
-        serve(driver, 4, AttemptResult.OK),
+        submit_and_end(driver, 4, AttemptResult.OK),
+        submit_and_end(driver, 8, AttemptResult.OK),
+        submit_and_end(driver, 4, AttemptResult.OK),
     )
     # The budget is the overload factor times the capacity, which grows from 0.1 to 0.46 in these 4 s.
     assert 0 < first <= 2.5 * (0.1 + 0.46) / 2 * 8 * 4 + 1
@@ -32,8 +32,8 @@
 
 def test_failing_destination_still_gets_the_slow_start_rate():
     driver = PolicyDriver(rate=8.0, slow_start_share=0.2, overload_factor=2.5)
-    serve(driver, 5, AttemptResult.OK)
-    sent = serve(driver, 10, AttemptResult.ERROR)
+    submit_and_end(driver, 5, AttemptResult.OK)
+    sent = submit_and_end(driver, 10, AttemptResult.ERROR)
     # More than half-open attempts alone, and within the budget of a slow start.
     assert 2 * 10 < sent <= 2.5 * 0.2 * 8 * 10 + 6
     assert not driver.policy.state.endpoints[100].circuit.open
@@ -47,11 +47,11 @@
         sent += len(sends)
         ended = [
             AttemptEnded(
-                action.message, driver.attempts_sent[action.message], 100, result, 1000, message_ended
+                action.message, driver.latest_attempts[action.message], 100, result, 1000, message_ended
             )
             for action in sends
         ]
-        actions = driver.run_tick(*ended) + (driver.submit(after=SECOND // 40) if ticks > 0 else [])
+        actions = driver.run_tick(*ended) + (driver.submit(after_us=SECOND // 40) if ticks > 0 else [])
         ticks -= 1
     return sent
 
@@ -71,12 +71,12 @@
     driver = large_fleet(endpoints=2)
     driver.submit()
     for _ in range(3):
-        driver.end_attempt(1, AttemptResult.CONNECT_FAILED, latency=20_000, endpoint=100)
+        driver.end_attempt(1, AttemptResult.CONNECT_FAILED, latency_us=20_000, endpoint=100)
         driver.advance(1)
     first_endpoint, second_endpoint = (driver.policy.state.endpoints[endpoint] for endpoint in (100, 101))
     assert first_endpoint.circuit is second_endpoint.circuit and first_endpoint.circuit.open
     for _ in range(20):
-        sends = actions_of(SendAttempt, driver.submit(after=100_000))
+        sends = actions_of(SendAttempt, driver.submit(after_us=100_000))
         if sends:
             driver.end_attempt(sends[0].message, AttemptResult.OK)
             break
@@ -98,24 +98,26 @@
                 circuit.bucket.tokens,
             ) = (
                 4.0,
-                driver.now,
-                driver.now,
+                driver.now_us,
+                driver.now_us,
                 0.0,
             )
         if one_circuit_open:  # it gets no calls and cannot use its share of the slow start
             circuit.open, circuit.slow_start_since_us, circuit.half_open_at_us = (
                 True,
                 -1,
-                driver.now + 60 * SECOND,
+                driver.now_us + 60 * SECOND,
             )
         count, sends = 0, []
         for _ in range(160):
-            sends += actions_of(SendAttempt, driver.submit(after=50_000))
+            sends += actions_of(SendAttempt, driver.submit(after_us=50_000))
             while sends:
                 action, count = sends.pop(), count + 1
                 sends += actions_of(
                     SendAttempt,
-                    driver.end_attempt(action.message, AttemptResult.OK, endpoint=action.endpoint, after=0),
+                    driver.end_attempt(
+                        action.message, AttemptResult.OK, endpoint=action.endpoint, after_us=0
+                    ),
                 )
         sent.append(count)
     assert sent[0] > 15 and sent[1] > 0.8 * sent[0]
@@ -124,12 +126,12 @@
 def test_slow_start_ends_at_the_full_rate():
     driver = mid_size_fleet()
     circuit = driver.policy.state.endpoints[100].circuit
-    circuit.slow_start_since_us, circuit.target_rate_per_s = driver.now, 10.0
+    circuit.slow_start_since_us, circuit.target_rate_per_s = driver.now_us, 10.0
     # Time in seconds until a slow start of 10 s reaches the full rate.
     full_rate_after_s = (1 / (0.8 * driver.policy.state.settings.overload_factor) - 0.1) / 0.9 * 10
-    driver.submit(after=int((full_rate_after_s - 0.5) * SECOND))
-    driver.end_attempt(driver.last_message, AttemptResult.OK, after=1)
+    driver.submit(after_us=int((full_rate_after_s - 0.5) * SECOND))
+    driver.end_attempt(driver.last_message, AttemptResult.OK, after_us=1)
     assert circuit.slow_start_since_us >= 0
-    driver.submit(after=SECOND)
-    driver.end_attempt(driver.last_message, AttemptResult.OK, after=1)
+    driver.submit(after_us=SECOND)
+    driver.end_attempt(driver.last_message, AttemptResult.OK, after_us=1)
     assert circuit.slow_start_since_us < 0
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -25,7 +25,7 @@
     warm_up(driver, 40)
     initial_lost_call_rate = driver.policy.state.statistics.lost_call_rate
     for _ in range(10):
-        sends = actions_of(SendAttempt, driver.submit(after=300_000) + driver.submit())
+        sends = actions_of(SendAttempt, driver.submit(after_us=300_000) + driver.submit())
         for action in sends[1:]:
             driver.end_attempt(action.message, AttemptResult.OK)
         driver.end_attempt(sends[0].message, AttemptResult.TIMEOUT)
