--- a/tests/hot_restart_pair.py
+++ b/tests/hot_restart_pair.py
@@ -41,8 +41,8 @@
 
     def prepare_new_process(self):
         """Prepare the new process, up to where it would ask for the journal."""
-        self.fleet.raw = self.fleet.raw or settings()
-        self.new_process = RelayServer(self.loop, load_configuration(self.fleet.env()))
+        self.fleet.raw_settings = self.fleet.raw_settings or settings()
+        self.new_process = RelayServer(self.loop, load_configuration(self.fleet.write_configuration()))
         self.new_process.prepare()
         return self.new_process
 
@@ -81,7 +81,7 @@
 
 async def add_blocked_endpoint(fleet, uid="g", dest=7):
     fleet.endpoints[uid] = await BlockedEndpoint().start()
-    fleet.discovery.target(uid, fleet.endpoints[uid].port, dest)
+    fleet.discovery.add_target(uid, fleet.endpoints[uid].port, dest)
     return fleet.endpoints[uid]
 
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Scripted endpoints, discovery and clients on loopback sockets, for the tests of the relay server."""
+"""Scripted endpoints, discovery and clients on loopback sockets, for tests of the relay server."""
 
 from __future__ import annotations
 
@@ -20,20 +20,22 @@
 from message_relay.server.relay_server import RelayServer
 
 ROOT = pathlib.Path(__file__).parent.parent
-LIMIT = 15.0  # no wait of a test lasts longer
+WAIT_TIMEOUT_S = 15.0
 
 
 def free_port():
+    """Return the number of a TCP port that is not in use."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         return server.getsockname()[1]
 
 
 async def bounded(awaitable):
-    return await asyncio.wait_for(awaitable, LIMIT)
+    """Return the result of the awaitable; raises TimeoutError after `WAIT_TIMEOUT_S`."""
+    return await asyncio.wait_for(awaitable, WAIT_TIMEOUT_S)
 
 
 class ScriptedServer:
-    """A TCP server on a free port; `serve` handles one connection."""
+    """TCP server whose subclasses handle a connection in `serve`; a restart uses the same port again."""
 
     def __init__(self):
         self.server, self.port, self.writers = None, 0, set()
@@ -56,7 +58,7 @@
         raise NotImplementedError
 
     def drop(self):
-        """Close the connections that are open."""
+        """Close all connections; the server still accepts new ones."""
         for writer in list(self.writers):
             writer.close()
 
@@ -66,6 +68,7 @@
 
 
 async def read_request(reader):
+    """Read an HTTP request; return its method, path, headers by lower-case name, and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = {
         name.lower(): value.strip() for name, value in (line.split(":", 1) for line in head[1:] if line)
@@ -76,18 +79,24 @@
 
 
 def answer(status, body=b"", **headers):
+    """Return the bytes of an HTTP response; an underscore in a header name stands for a hyphen."""
     lines = [f"HTTP/1.1 {status} x", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 class Endpoint(ScriptedServer):
-    """Answers by its script, then with 200. A step: bytes, a function of the body, 'reset' or 'hang'."""
+    """Endpoint that takes a step of its script for each request, and answers 200 after the last step.
+
+    A step is the response in bytes, a function that returns it for the request's body, "reset" (reset the
+    connection) or "hang" (no response). `calls` holds the path, headers, body and time of each request,
+    `closed_connections` an item for each connection that has ended.
+    """
 
     def __init__(self, *script):
         super().__init__()
         self.script, self.calls, self.accepted = list(script), asyncio.Queue(), 0
-        self.ended = asyncio.Queue()
+        self.closed_connections = asyncio.Queue()
 
     async def serve(self, reader, writer):
         self.accepted += 1
@@ -105,26 +114,32 @@
                     return
                 writer.write(step if isinstance(step, bytes) else step(body))
         finally:
-            self.ended.put_nowait(None)
+            self.closed_connections.put_nowait(None)
 
     async def call(self):
+        """Return the next request as path, headers, body and time; waits for it."""
         return await bounded(self.calls.get())
 
 
 class Discovery(ScriptedServer):
-    """Discovery: an endpoint list that changes, its watch, and the final notices."""
+    """Discovery service: sends its endpoint list and the changes to each watch, and receives final notices.
+
+    `watches` holds the path of each watch request, `finals` each notice with the status that answered it.
+    `notice_status` lists the statuses for the next requests with notices; after the last one it is 204.
+    """
 
     def __init__(self):
         super().__init__()
         self.rev, self.targets, self.finals, self.watches = 1, {}, asyncio.Queue(), asyncio.Queue()
         self.watchers, self.notice_status, self.silent = [], [], False
 
-    def target(self, uid, port, dest, kind="plain", state="in_service", rate=100.0):
+    def add_target(self, uid, port, dest, destination_type="plain", state="in_service", rate=100.0):
+        """Add an entry to the endpoint list, without sending it to the open watches; return the entry."""
         self.targets[uid] = {
             "uid": uid,
             "endpoint": f"127.0.0.1:{port}",
             "az": "here",
-            "model": kind,
+            "model": destination_type,
             "pod_group": dest,
             "state": state,
             "capacity_hint": rate,
@@ -132,21 +147,23 @@
         }
         return self.targets[uid]
 
-    def whole(self):
+    def complete_list(self):
+        """Return the line of the watch that lists all targets."""
         return {"rev": self.rev, "all": True, "targets": list(self.targets.values())}
 
     def change(self, uid, **values):
+        """Update fields of a target, raise the revision and send the target to the open watches."""
         self.rev += 1
         self.targets[uid].update(values)
-        self._push({"rev": self.rev, "all": False, "targets": [self.targets[uid]]})
+        self._send_to_watches({"rev": self.rev, "all": False, "targets": [self.targets[uid]]})
 
-    def _push(self, line):
+    def _send_to_watches(self, line):
         for writer in self.watchers:
-            self._chunk(writer, json.dumps(line).encode())
+            self._write_chunk(writer, json.dumps(line).encode())
 
     @staticmethod
-    def _chunk(writer, text):
-        writer.write(b"%x\r\n%s\n\r\n" % (len(text) + 1, text))
+    def _write_chunk(writer, line):
+        writer.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
 
     async def serve(self, reader, writer):
         while True:
@@ -154,7 +171,7 @@
             if path.startswith("/discovery"):
                 self.watches.put_nowait(path)
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                self._chunk(writer, json.dumps(self.whole()).encode())
+                self._write_chunk(writer, json.dumps(self.complete_list()).encode())
                 self.watchers.append(writer)
                 await reader.read()
                 self.watchers.remove(writer)
@@ -165,14 +182,15 @@
             writer.write(b"HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n" % status)
 
     async def final(self, status=204):
+        """Return the next notice that was answered with the status; waits for it."""
         while True:
-            got, line = await bounded(self.finals.get())
-            if got == status:
-                return line
+            response_status, notice = await bounded(self.finals.get())
+            if response_status == status:
+                return notice
 
 
 class Client:
-    """Submits messages to the relay."""
+    """Client of the relay on one RESP connection."""
 
     def __init__(self):
         self.reader = self.writer = None
@@ -184,29 +202,38 @@
 
     @staticmethod
     def command(*args):
+        """Return the bytes of a RESP command."""
         return b"*%d\r\n" % len(args) + b"".join(b"$%d\r\n%s\r\n" % (len(arg), arg) for arg in args)
 
     @classmethod
-    def message(cls, ident, kind="safe", dest=7, life=6000, body=b"hello", key=""):
-        fields = f"c={kind},t=t,d={life},dest={dest}" + (f",k={key}" if key else "")
-        return cls.command(b"MSG.PUT", b"0" * 16, ident.encode(), fields.encode(), body)
+    def message(cls, message_id, message_class="safe", dest=7, lifetime_ms=6000, body=b"hello", key=""):
+        """Return the bytes of a command that submits a message; the class is given by its name."""
+        fields = f"c={message_class},t=t,d={lifetime_ms},dest={dest}" + (f",k={key}" if key else "")
+        return cls.command(b"MSG.PUT", b"0" * 16, message_id.encode(), fields.encode(), body)
 
     async def line(self):
+        """Return the next line that the relay sends, without its line end."""
         return (await bounded(self.reader.readuntil(b"\r\n"))).decode().strip()
 
     async def send(self, data):
+        """Send the bytes and return the line that answers them."""
         self.writer.write(data)
         return await self.line()
 
-    async def put(self, ident, **more):
-        return await self.send(self.message(ident, **more))
+    async def put(self, message_id, **fields):
+        """Submit a message with the fields of `message` and return the line that answers it."""
+        return await self.send(self.message(message_id, **fields))
 
 
 class Fleet:
-    """Endpoints and discovery, with the relay either in this process or in one of its own."""
+    """A relay with its endpoints and its discovery service.
 
-    def __init__(self, folder, raw=None, **limits):
-        self.folder, self.raw = folder, raw or settings()
+    The relay runs in this process (`relay`) or in one of its own (`process`). `raw_settings` and `limits` are
+    written into its configuration file and may be changed until it starts.
+    """
+
+    def __init__(self, folder, raw_settings=None, **limits):
+        self.folder, self.raw_settings = folder, raw_settings or settings()
         self.limits = {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3, **limits}
         self.discovery, self.endpoints, self.relay, self.process = Discovery(), {}, None, None
         self.console, self.console_port = None, 0
@@ -227,18 +254,20 @@
         for server in (self.discovery, *self.endpoints.values()):
             await server.stop()
 
-    async def endpoint(self, uid, *script, dest=7, kind="plain", rate=100.0):
+    async def endpoint(self, uid, *script, dest=7, destination_type="plain", rate=100.0):
+        """Start an endpoint with the script, add it to the endpoint list and return it."""
         endpoint = self.endpoints[uid] = await Endpoint(*script).start()
-        self.discovery.target(uid, endpoint.port, dest, kind, rate=rate)
+        self.discovery.add_target(uid, endpoint.port, dest, destination_type, rate=rate)
         return endpoint
 
-    def env(self):
+    def write_configuration(self):
+        """Write the configuration file and return the environment variables of the relay."""
         config = {
             "name": "n0",
             "seed": "8c1f30d27a5be964",
             "limits": self.limits,
-            "known": self.discovery.whole(),
-            "settings": self.raw,
+            "known": self.discovery.complete_list(),
+            "settings": self.raw_settings,
         }
         path = self.folder / "config.json"
         path.write_text(json.dumps(config))
@@ -252,62 +281,66 @@
         }
 
     async def start_relay(self):
-        """Start the relay in this process; returns a client of it."""
-        self.relay = RelayServer(asyncio.get_running_loop(), load_configuration(self.env()))
+        """Start the relay in this process; return a client that is connected to it."""
+        self.relay = RelayServer(asyncio.get_running_loop(), load_configuration(self.write_configuration()))
         self.console = AdminConsole(self.relay.operations)
         self.console_port = await self.console.listen(("127.0.0.1", 0))
         return await Client().open(await self.relay.start())
 
-    async def run_command(self, call, port=0):
-        """Run an operator's command on the admin console; returns the whole answer."""
+    async def run_command(self, command_line, port=0):
+        """Run an operator's command on the admin console; return the complete answer."""
         reader, writer = await bounded(asyncio.open_connection("127.0.0.1", port or self.console_port))
-        writer.write(call.encode() + b"\n")
+        writer.write(command_line.encode() + b"\n")
         try:
             return (await bounded(reader.read())).decode()
         finally:
             writer.close()
 
     async def metrics(self):
-        """The metrics on the admin console by name."""
+        """Return the values of the metrics by name and labels, as read from the admin console."""
         lines = (await self.run_command("counters")).splitlines()
         assert lines[0] == "ACK" and lines[-1] == "--"
         return {name: int(value) for name, value in (line.rsplit(" ", 1) for line in lines[1:-1])}
 
     def relay_port(self):
-        """The port on which the relay in this process accepts clients."""
+        """Return the port on which the relay in this process accepts clients."""
         return self.relay.clients.listening_socket.getsockname()[1]
 
-    async def start_process(self, files=0):
-        """Start the relay in a process of its own; returns a client of it."""
+    async def start_process(self, descriptor_limit=0):
+        """Start the relay in a process of its own; return a client that is connected to it.
+
+        The process may open up to `descriptor_limit` files; 0 leaves the limit as it is.
+        """
         self.console_port = free_port()
 
-        def limit():
-            if files:
-                resource.setrlimit(resource.RLIMIT_NOFILE, (files, files))
+        def limit_descriptors():
+            if descriptor_limit:
+                resource.setrlimit(resource.RLIMIT_NOFILE, (descriptor_limit, descriptor_limit))
 
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "message_relay",
-            env={**os.environ, **self.env()},
+            env={**os.environ, **self.write_configuration()},
             cwd=ROOT,
             stderr=asyncio.subprocess.PIPE,
-            preexec_fn=limit,
+            preexec_fn=limit_descriptors,
         )
         while True:
             line = (await bounded(self.process.stderr.readline())).decode()
-            assert line, "the relay ended"
+            assert line, "the relay process ended before it was ready"
             if "is ready on port" in line:
                 self.port = int(line.split("is ready on port ")[1].split()[0])
                 return await Client().open(self.port)
 
     async def kill(self):
+        """Send SIGKILL to the process of the relay and wait for its end."""
         self.process.send_signal(signal.SIGKILL)
         await bounded(self.process.wait())
 
 
 def with_fleet(test):
-    """Runs a test with a fleet."""
+    """Decorate a coroutine so that pytest runs it with a started fleet in a temporary directory."""
 
     def run(tmp_path):
         async def inner():
--- a/tests/test_admin_console.py
+++ b/tests/test_admin_console.py
@@ -219,7 +219,7 @@
     assert await client.put("m1") == "+OK"
     await endpoint.call()
     assert await client.put("m1") == "+OK"  # same id: not counted as another message
-    assert await client.put("m2", kind="unsafe") == "+OK"
+    assert await client.put("m2", message_class="unsafe") == "+OK"
     assert (await fleet.discovery.final())["status"] == "undeliverable"
     assert await client.put("m3") == "+OK"
     assert (await fleet.discovery.final())["status"] == "deferred"
@@ -232,11 +232,11 @@
 
 @with_fleet
 async def test_a_message_rejected_at_submission_is_counted(fleet):
-    fleet.raw = settings(policyLimits__maxOpen=1)
+    fleet.raw_settings = settings(policyLimits__maxOpen=1)
     await fleet.endpoint("a", "hang")
     client = await fleet.start_relay()
     assert await client.put("m1") == "+OK"
-    assert (await client.put("m2", kind="unsafe")).startswith("-BUSY")
+    assert (await client.put("m2", message_class="unsafe")).startswith("-BUSY")
     metrics = await fleet.metrics()
     assert metrics['app_busy_total{tier="unsafe"}'] == 1 and metrics["app_inflight"] == 1
 
@@ -266,7 +266,7 @@
 
 @with_fleet
 async def test_the_process_does_not_start_if_the_console_address_cannot_be_bound(fleet):
-    environment = {**fleet.env(), "LB_CONSOLE": "192.0.2.1:1"}
+    environment = {**fleet.write_configuration(), "LB_CONSOLE": "192.0.2.1:1"}
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -13,11 +13,11 @@
         return answer(200, rows, Retry_After="0.3")
 
     # A successful first call lets the policy send more than one message at once: the next three form a batch.
-    endpoint = await fleet.endpoint("a", answer(200), mixed, dest=9, kind="bundles")
+    endpoint = await fleet.endpoint("a", answer(200), mixed, dest=9, destination_type="bundles")
     client = await fleet.start_relay()
     await client.put("b0", dest=9)
     await endpoint.call()
-    client.writer.write(b"".join(client.message(f"b{n}", kind="unsafe", dest=9) for n in (1, 2, 3)))
+    client.writer.write(b"".join(client.message(f"b{n}", message_class="unsafe", dest=9) for n in (1, 2, 3)))
     assert [await client.line() for _ in range(3)] == ["+OK"] * 3
     assert (await endpoint.call())[0] == "/events/bundle"
     finals = [await fleet.discovery.final() for _ in range(2)]
@@ -29,17 +29,22 @@
 async def test_the_message_with_the_latest_deadline_is_first_in_its_batch(fleet):
     # The call lasts until the deadline of its first message. If that one had an earlier deadline than others,
     # the call would be abandoned then, and a response that arrives later would complete none of them.
-    endpoint = await fleet.endpoint("a", answer(200), b"", dest=9, kind="bundles")
+    endpoint = await fleet.endpoint("a", answer(200), b"", dest=9, destination_type="bundles")
     client = await fleet.start_relay()
     await client.put("b0", dest=9)
     await endpoint.call()
-    lifetimes = {"b1": 700, "b2": 5000, "b3": 2000}
-    client.writer.write(b"".join(client.message(i, dest=9, life=life) for i, life in lifetimes.items()))
-    assert [await client.line() for _ in lifetimes] == ["+OK"] * 3
+    lifetimes_ms = {"b1": 700, "b2": 5000, "b3": 2000}
+    client.writer.write(
+        b"".join(
+            client.message(message_id, dest=9, lifetime_ms=lifetime_ms)
+            for message_id, lifetime_ms in lifetimes_ms.items()
+        )
+    )
+    assert [await client.line() for _ in lifetimes_ms] == ["+OK"] * 3
     _, headers, body, _ = await endpoint.call()
     assert [row["id"] for row in json.loads(body)] == ["b2", "b3", "b1"]
     assert (await fleet.discovery.final())["id"] == "b1"  # its deadline has passed, the call continues
-    rows = json.dumps([{"id": i, "state": "done"} for i in lifetimes]).encode()
+    rows = json.dumps([{"id": message_id, "state": "done"} for message_id in lifetimes_ms]).encode()
     endpoint.writers.copy().pop().write(answer(200, rows))
     while fleet.relay.journal.messages:
         await asyncio.sleep(0.01)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -136,7 +136,7 @@
     # If the complete backlog is accepted before any connection is closed, they use up all descriptors.
     fleet.limits["sockets"] = 64
     await fleet.endpoint("a")
-    await fleet.start_process(files=64)
+    await fleet.start_process(descriptor_limit=64)
     silent_sockets = []
     for _ in range(300):
         sock = socket.socket()
@@ -156,7 +156,7 @@
     # The configured limit is above that of the process, so only EMFILE shows that descriptors ran out. Then
     # connections without a valid request are closed.
     await fleet.endpoint("a")
-    await fleet.start_process(files=40)
+    await fleet.start_process(descriptor_limit=40)
     silent_clients = [await Client().open(fleet.port) for _ in range(60)]
     new_client = await Client().open(fleet.port)
     assert await new_client.send(command(b"PING")) == "+PONG"
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -21,7 +21,7 @@
 def test_a_malformed_value_is_reported_with_its_field(tmp_path, name, value, field):
     async def run():
         async with Fleet(tmp_path) as fleet:
-            return fleet.env()
+            return fleet.write_configuration()
 
     environment = asyncio.run(run())
     load_configuration(environment)
@@ -32,7 +32,7 @@
 def test_settings_out_of_range_are_reported_with_their_field(tmp_path):
     async def run():
         async with Fleet(tmp_path, settings(familyInfo__maxCalls=0)) as fleet:
-            return fleet.env()
+            return fleet.write_configuration()
 
     with pytest.raises(ConfigurationError, match="^settings: call_slots"):
         load_configuration(asyncio.run(run()))
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -53,7 +53,7 @@
 
 async def add_endpoint(fleet, endpoint):
     fleet.endpoints["a"] = await endpoint.start()
-    fleet.discovery.target("a", endpoint.port, 7)
+    fleet.discovery.add_target("a", endpoint.port, 7)
     return endpoint
 
 
@@ -106,7 +106,7 @@
         await all_completed(fleet)
     assert fleet.relay.policy.state.statistics.reset_rates.reused > 0.08
     for number in range(8):
-        await client.put(f"u{number}", kind="unsafe")
+        await client.put(f"u{number}", message_class="unsafe")
         await all_completed(fleet)
     assert fleet.discovery.finals.empty()
     circuits = [state.circuit for state in fleet.relay.policy.state.endpoints.values()]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -19,19 +19,19 @@
     return opened
 
 
-@pytest.mark.parametrize("files", [64, 128, 256])
+@pytest.mark.parametrize("descriptor_limit", [64, 128, 256])
 @pytest.mark.parametrize("console_connections", [0, 40])
 def test_idle_clients_leave_descriptors_for_other_uses_when_discovery_recovers(
-    tmp_path, files, console_connections
+    tmp_path, descriptor_limit, console_connections
 ):
     async def run():
-        async with Fleet(tmp_path, sockets=files) as fleet:
+        async with Fleet(tmp_path, sockets=descriptor_limit) as fleet:
             endpoint = await fleet.endpoint("a")
             await fleet.discovery.stop()
-            active_client = await fleet.start_process(files=files)
+            active_client = await fleet.start_process(descriptor_limit=descriptor_limit)
             assert await active_client.put("before") == "+OK"
             assert (await endpoint.call())[1]["x-request-id"] == "before"
-            idle_connections = await open_silent_connections(fleet.port, 2 * files)
+            idle_connections = await open_silent_connections(fleet.port, 2 * descriptor_limit)
             idle_connections += await open_silent_connections(fleet.console_port, console_connections)
             late_client = await Client().open(fleet.port)
             await fleet.discovery.start()
@@ -40,7 +40,7 @@
             assert (await endpoint.call())[1]["x-request-id"] == "after"
             await bounded(fleet.discovery.watches.get())
             fleet.discovery.change("a", state="terminating")
-            assert await active_client.put("nowhere", life=1500) == "+OK"
+            assert await active_client.put("nowhere", lifetime_ms=1500) == "+OK"
             assert (await fleet.discovery.final())["id"] == "nowhere"  # notices are sent as well
             metrics = await fleet.run_command("counters")
             assert metrics.startswith("ACK") and "app_hosts_listed 1\n" in metrics
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -259,7 +259,7 @@
 async def test_a_repeated_or_older_list_changes_no_endpoint_in_use(fleet):
     endpoint = await fleet.endpoint("a")
     client = await fleet.start_relay()
-    complete = fleet.discovery.whole()
+    complete = fleet.discovery.complete_list()
     for number, fields in enumerate((complete, complete, {**complete, "rev": 0})):
         change = EndpointListChange(fields["rev"], fields["all"], fields["targets"])
         fleet.relay.apply_list(change, EndpointListForm.COMPLETE)
--- a/tests/test_endpoint_calls.py
+++ b/tests/test_endpoint_calls.py
@@ -97,7 +97,7 @@
         assert body == b"x"
         assert 1 <= int(headers["x-timeout-ms"]) <= 5000
         if step == "hang":  # a timed-out call closes its connection, which frees the slot of the endpoint
-            await bounded(endpoint.ended.get())
+            await bounded(endpoint.closed_connections.get())
         assert observer.waits_us == ([250_000] if outcome.retry_after_us else [])
         observer.client.close()
         await endpoint.stop()
@@ -177,7 +177,7 @@
             await observer.send(endpoint.port, message_id)
         assert endpoint.accepted == 1
         endpoint.drop()  # closes the idle connection: a request written to it would be reset
-        await bounded(endpoint.ended.get())
+        await bounded(endpoint.closed_connections.get())
         assert (await observer.send(endpoint.port, "d"))[0][1].result is AttemptResult.OK
         assert endpoint.accepted == 2
         observer.client.close()
@@ -191,7 +191,7 @@
         endpoint = await Endpoint().start()
         observer = RecordingObserver(connection_idle_us=100_000)
         await observer.send(endpoint.port, "a")
-        await bounded(endpoint.ended.get())  # closed by the client
+        await bounded(endpoint.closed_connections.get())  # closed by the client
         assert not observer.client.pools[1].idle
         await endpoint.stop()
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -51,9 +51,9 @@
     await bounded(fleet.discovery.watches.get())
     sizes = []
     for n in range(1, 60):
-        assert await client.put(f"m{n}", kind="keyed", key=f"k{n}") == "+OK"
+        assert await client.put(f"m{n}", message_class="keyed", key=f"k{n}") == "+OK"
         await endpoint.call()
-        fleet.discovery.target(f"e{n}", endpoint.port, 7)
+        fleet.discovery.add_target(f"e{n}", endpoint.port, 7)
         fleet.discovery.change(f"e{n}", state="in_service")
         fleet.discovery.change(f"e{n - 1}", state="terminated")
         del fleet.discovery.targets[f"e{n - 1}"]
@@ -70,7 +70,7 @@
     endpoint = await fleet.endpoint("a", "hang")
     client = await fleet.start_relay()
     await bounded(fleet.discovery.watches.get())
-    assert await client.put("u", kind="unsafe", life=900) == "+OK"
+    assert await client.put("u", message_class="unsafe", lifetime_ms=900) == "+OK"
     await endpoint.call()
     fleet.discovery.change("a", state="terminated")
     assert (await fleet.discovery.final())["id"] == "u"
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -27,7 +27,7 @@
     old = pair.old_process
     partial_client = await Client().open(fleet.relay_port())
     partial_client.writer.write(Client.message("half", dest=8)[:25])
-    assert await client.put("u", kind="unsafe") == "+OK"
+    assert await client.put("u", message_class="unsafe") == "+OK"
     await blocked.call()
     old.operations.cordon("f")
     while not any(c.reader.mid_request for c in old.clients.connections):
@@ -51,7 +51,7 @@
 async def test_after_the_old_process_ends_its_unreported_attempts_are_possibly_applied(fleet, start):
     blocked, other_blocked = await add_blocked_endpoint(fleet), await add_blocked_endpoint(fleet, "k", dest=8)
     client, pair = await start()
-    assert await client.put("u", kind="unsafe") == "+OK"
+    assert await client.put("u", message_class="unsafe") == "+OK"
     assert await client.put("s", dest=8) == "+OK"
     await blocked.call()
     await other_blocked.call()
--- a/tests/test_hot_restart_processes.py
+++ b/tests/test_hot_restart_processes.py
@@ -132,7 +132,7 @@
 def start_process(fleet, listener, port):
     env = {
         **os.environ,
-        **fleet.env(),
+        **fleet.write_configuration(),
         "LB_FD": str(listener.fileno()),
         "TMPDIR": str(fleet.folder),
         "LB_CONSOLE": f"127.0.0.1:{port}",
--- a/tests/test_key_window.py
+++ b/tests/test_key_window.py
@@ -17,7 +17,7 @@
 
     def __init__(self, folder, scope, age_s, zone=0):
         self.fleet = Fleet(folder)
-        keyed = self.fleet.raw["classes"][KEYED]
+        keyed = self.fleet.raw_settings["classes"][KEYED]
         keyed["keyTtlUs"], keyed["keyScope"] = int(WINDOW_S * 1e6), scope
         self.age_s, self.zone, self.folder = age_s, zone, folder
 
@@ -71,7 +71,7 @@
             fleet.discovery.change("a", state="terminating")
             endpoint = await fleet.endpoint("b", "reset", "reset", "reset")
             fleet.discovery.change("b")
-            await restarted.client.put("n", kind="keyed", key="j", life=8000)
+            await restarted.client.put("n", message_class="keyed", key="j", lifetime_ms=8000)
             *_, first_call_at = await endpoint.call()
             fleet.discovery.change("b", state="terminating")
             assert (await fleet.discovery.final())["id"] == "n"
--- a/tests/test_malformed_responses.py
+++ b/tests/test_malformed_responses.py
@@ -72,7 +72,7 @@
         endpoint = await Endpoint(MALFORMED[name]).start()
         observer = RecordingObserver()
         assert await observer.send(endpoint.port, "a") == [("a", MAY_HAVE_BEEN_APPLIED)]
-        await bounded(endpoint.ended.get())  # the connection is closed, not reused
+        await bounded(endpoint.closed_connections.get())  # the connection is closed, not reused
         assert not observer.client.in_flight and not observer.client.pools[1].idle
         await endpoint.stop()
 
@@ -168,9 +168,9 @@
         await client.put(f"m{n}")
         await endpoint.call()
     for n in range(2):
-        await client.put(f"s{n}", kind="unsafe")
+        await client.put(f"s{n}", message_class="unsafe")
         await endpoint.call()
         assert (await fleet.discovery.final())["status"] == "undeliverable"
     started_at = time.monotonic()
-    await client.put("u", kind="unsafe")
+    await client.put("u", message_class="unsafe")
     assert (await endpoint.call())[1]["x-request-id"] == "u" and time.monotonic() - started_at < 0.2
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -16,7 +16,7 @@
     client = await fleet.start_relay()
     body = bytes(range(256)) * 8 + b"\r\n*1\r\n$4\r\nPING\r\n"
     assert await client.send(client.command(b"PING")) == "+PONG"
-    assert await client.put("m1", kind="keyed", key="k1", body=body) == "+OK"
+    assert await client.put("m1", message_class="keyed", key="k1", body=body) == "+OK"
     path, headers, received_body, _ = await endpoint.call()
     assert (path, headers["x-request-id"], headers["idempotency-key"], received_body) == (
         "/events",
@@ -33,7 +33,7 @@
     client = await fleet.start_relay()
     await client.put("s")
     assert [(await endpoint.call())[1]["x-request-id"] for _ in range(2)] == ["s", "s"]
-    await client.put("u", kind="unsafe")
+    await client.put("u", message_class="unsafe")
     assert await fleet.discovery.final() == {"id": "u", "status": "undeliverable"}
     assert (await endpoint.call())[1]["x-request-id"] == "u" and endpoint.calls.empty()
 
@@ -55,7 +55,7 @@
 async def test_a_load_report_reaches_the_policy(fleet):
     reports = [answer(200, X_Server_Load=text) for text in ("x1=25,x0=0.4", "x0=0.4")]
     endpoint = await fleet.endpoint("a", *reports)
-    fleet.raw["report"] = {"fields": ["x0", "x1"]}
+    fleet.raw_settings["report"] = {"fields": ["x0", "x1"]}
     client = await fleet.start_relay()
     relay, events = fleet.relay, []
     add_event = relay.events.add
@@ -95,12 +95,12 @@
 
 @with_fleet
 async def test_a_retry_is_not_written_on_a_connection_established_after_the_key_window(fleet):
-    fleet.raw["classes"][1]["keyTtlUs"] = 700_000
+    fleet.raw_settings["classes"][1]["keyTtlUs"] = 700_000
     endpoint = await fleet.endpoint("a", "reset")
     client = await fleet.start_relay()
     calls, established = fleet.relay.calls, []
     connected, calls._connected = calls._connected, lambda *arguments: established.append(arguments)
-    await client.put("m", kind="keyed", key="k")
+    await client.put("m", message_class="keyed", key="k")
     while len(established) < 1:
         await asyncio.sleep(0.01)
     connected(*established[0])
@@ -136,7 +136,7 @@
     monkeypatch.setattr("message_relay.server.discovery.endpoint_watch.SILENCE_TIMEOUT_S", 0.2)
 
     class SilentDiscovery(Discovery):
-        def _push(self, line):
+        def _send_to_watches(self, line):
             pass
 
     async def run():
@@ -154,7 +154,7 @@
     await fleet.endpoint("a", answer(500))
     fleet.discovery.notice_status = [500, 503]
     client = await fleet.start_relay()
-    await client.put("u", kind="unsafe")
+    await client.put("u", message_class="unsafe")
     for status in (500, 503, 204):
         assert await fleet.discovery.final(status) == {"id": "u", "status": "undeliverable"}
     while fleet.relay.journal.messages:
@@ -165,19 +165,19 @@
 async def test_a_message_submitted_twice_is_not_sent_twice(fleet):
     endpoint = await fleet.endpoint("a")
     client = await fleet.start_relay()
-    client.writer.write(client.message("m", kind="unsafe") * 2)
+    client.writer.write(client.message("m", message_class="unsafe") * 2)
     assert [await client.line() for _ in range(2)] == ["+OK"] * 2
     await endpoint.call()
     while fleet.relay.journal.messages:
         await asyncio.sleep(0.01)
-    assert await client.put("m", kind="unsafe") == "+OK"
+    assert await client.put("m", message_class="unsafe") == "+OK"
     await client.put("n")
     assert (await endpoint.call())[1]["x-request-id"] == "n"
 
 
 @with_fleet
 async def test_over_capacity_messages_are_rejected_with_a_retry_after(fleet):
-    fleet.raw = settings(policyLimits__maxOpen=4)
+    fleet.raw_settings = settings(policyLimits__maxOpen=4)
     client = await fleet.start_relay()  # there is no endpoint, so accepted messages stay open
     client.writer.write(b"".join(client.message(f"m{n}") for n in range(6)))
     answers = [await client.line() for n in range(6)]
@@ -222,7 +222,7 @@
 async def test_an_unsent_message_is_deferred_in_time(fleet):
     client = await fleet.start_relay()
     start = time.monotonic()
-    assert await client.put("m", life=600) == "+OK"
+    assert await client.put("m", lifetime_ms=600) == "+OK"
     assert (await fleet.discovery.final())["status"] == "deferred"
     assert time.monotonic() - start < 0.6 + 0.3
 
@@ -258,7 +258,7 @@
     client = await fleet.start_relay()
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(fleet.relay.calls, "_start", lambda call: 1 / 0)
-        assert await client.put("m1", kind="unsafe") == "+OK"
+        assert await client.put("m1", message_class="unsafe") == "+OK"
         assert (await fleet.discovery.final())["status"] == "deferred"
     assert fleet.relay.policy.state.in_flight == 0
     await client.put("m2")
@@ -270,14 +270,14 @@
     # After the window the destination no longer recognizes the key, and could apply the message again.
     endpoint = await fleet.endpoint("a", answer(500), answer(500), answer(500))
     client = await fleet.start_relay()
-    await client.put("m1", kind="keyed", key="k")
+    await client.put("m1", message_class="keyed", key="k")
     assert (await fleet.discovery.final())["id"] == "m1"
     for _ in range(3):
         await endpoint.call()
-    await client.put("m2", kind="keyed", key="k")
+    await client.put("m2", message_class="keyed", key="k")
     assert (await endpoint.call())[1]["idempotency-key"] == "k"  # the window has not passed
     fleet.relay.journal.idempotency_keys.add("k", time.time() - 8.5, time.time() + 9)
-    assert (await client.put("m3", kind="keyed", key="k")).startswith("-BUSY")
+    assert (await client.put("m3", message_class="keyed", key="k")).startswith("-BUSY")
     assert endpoint.calls.empty()
 
 
@@ -287,11 +287,11 @@
     # flight at once.
     endpoint = await fleet.endpoint("a", "hang")
     client = await fleet.start_relay()
-    await client.put("m1", kind="keyed", key="k")
+    await client.put("m1", message_class="keyed", key="k")
     await endpoint.call()
-    await client.put("m2", kind="keyed", key="k")
+    await client.put("m2", message_class="keyed", key="k")
     assert (await fleet.discovery.final()) == {"id": "m1", "status": "deferred"}
-    await bounded(endpoint.ended.get())  # the older call was cancelled
+    await bounded(endpoint.closed_connections.get())  # the older call was cancelled
     path, headers, *_ = await endpoint.call()
     assert (headers["x-request-id"], headers["idempotency-key"]) == ("m2", "k")
 
@@ -312,7 +312,7 @@
                 relay.directory.entries[number] = replace(
                     relay.directory.entries[number], state=EndpointState.DRAINING
                 )
-            assert await client.put("m", kind="unsafe") == "+OK"
+            assert await client.put("m", message_class="unsafe") == "+OK"
             assert (await fleet.discovery.final())["status"] == "deferred"  # the message was never sent
             assert endpoint.calls.empty()
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -24,7 +24,7 @@
     assert (await bounded(fleet.discovery.watches.get())).endswith("from=1")
     new_discovery = await Discovery().start()
     new_discovery.rev, new_discovery.targets = 2, dict(fleet.discovery.targets)
-    new_discovery.target("b", endpoint.port, 8)
+    new_discovery.add_target("b", endpoint.port, 8)
     (fleet.folder / "config.json").rename(fleet.folder / "old.json")
     # The file is missing, then partially written: the old configuration stays in force.
     fleet.process.send_signal(signal.SIGHUP)
@@ -36,7 +36,7 @@
     (fleet.folder / "old.json").rename(fleet.folder / "config.json")
     set_discovery_port(fleet, new_discovery.port)  # read by the relay's retry, without another signal
     assert (await bounded(new_discovery.watches.get())).endswith("from=1")
-    assert await client.put("u1", kind="unsafe") == "+OK"
+    assert await client.put("u1", message_class="unsafe") == "+OK"
     assert await new_discovery.final() == {"id": "u1", "status": "undeliverable"}
     assert fleet.discovery.finals.empty() and fleet.process.returncode is None
     await new_discovery.stop()
@@ -50,9 +50,9 @@
 
     await fleet.endpoint("a", answer(500))
     fleet.discovery = await SilentDiscovery().start()
-    fleet.discovery.target("a", fleet.endpoints["a"].port, 7)
+    fleet.discovery.add_target("a", fleet.endpoints["a"].port, 7)
     client = await fleet.start_relay()
-    assert await client.put("u1", kind="unsafe") == "+OK"
+    assert await client.put("u1", message_class="unsafe") == "+OK"
     while not fleet.relay.notifier.batch:
         await asyncio.sleep(0.01)
     new_discovery = await Discovery().start()
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -21,11 +21,11 @@
     endpoint_e = await fleet.endpoint("a", "hang", "hang", "hang", dest=1)
     endpoint_f = await fleet.endpoint("b", "hang", dest=2)
     endpoint_g = await fleet.endpoint("c", "hang", dest=3)
-    fleet.discovery.target("z", endpoint_e.port, 5, state="terminating")
+    fleet.discovery.add_target("z", endpoint_e.port, 5, state="terminating")
     client = await fleet.start_process()
     await client.put("safe", dest=1)
-    await client.put("unsafe", kind="unsafe", dest=2)
-    await client.put("keyed", kind="keyed", key="k", dest=3)
+    await client.put("unsafe", message_class="unsafe", dest=2)
+    await client.put("keyed", message_class="keyed", key="k", dest=3)
     await client.put("waiting", dest=5)  # its only endpoint is draining
     for endpoint in (endpoint_e, endpoint_f, endpoint_g):
         await endpoint.call()
@@ -45,8 +45,8 @@
 
 def split_into_zones(fleet):
     """Let the keyed class deduplicate within a zone only, and put endpoints a and b into different zones."""
-    fleet.raw["localities"] = ["here", "there"]
-    fleet.raw["classes"][1]["keyScope"] = "zone"
+    fleet.raw_settings["localities"] = ["here", "there"]
+    fleet.raw_settings["classes"][1]["keyScope"] = "zone"
     fleet.discovery.targets["b"]["az"] = "there"
 
 
@@ -55,7 +55,7 @@
     endpoint_b = await fleet.endpoint("b", "hang")
     split_into_zones(fleet)
     client = await fleet.start_process()
-    await client.put("m", kind="keyed", key="k")
+    await client.put("m", message_class="keyed", key="k")
     await endpoint_b.call()
     await fleet.kill()
     endpoint_a = await fleet.endpoint("a")
@@ -70,14 +70,14 @@
     split_into_zones(fleet)
     client = await fleet.start_relay()
     await bounded(fleet.discovery.watches.get())
-    await client.put("m", kind="keyed", key="k")
+    await client.put("m", message_class="keyed", key="k")
     await endpoint_b.call()
     endpoint_a = await fleet.endpoint("a")
     fleet.discovery.change("a", az="here")
     while len(fleet.relay.directory.entries) < 2:
         await asyncio.sleep(0.01)
     fleet.relay.journal.compact()  # the zone is stored in a compacted file too
-    await client.put("m2", kind="keyed", key="k")
+    await client.put("m2", message_class="keyed", key="k")
     assert (await endpoint_b.call())[1]["x-request-id"] == "m2"
     assert endpoint_a.calls.empty()
 
@@ -86,11 +86,13 @@
 async def test_completed_messages_are_not_sent_again(fleet):
     endpoint = await fleet.endpoint("a", answer(200), answer(429))
     client = await fleet.start_process()
-    await client.put("m1", kind="unsafe")
+    await client.put("m1", message_class="unsafe")
     await endpoint.call()
-    await client.put("m2", kind="unsafe")
+    await client.put("m2", message_class="unsafe")
     assert (await fleet.discovery.final())["id"] == "m2"
-    assert await client.put("m1", kind="unsafe") == "+OK"  # completed by now, and the 204 has been read
+    assert (
+        await client.put("m1", message_class="unsafe") == "+OK"
+    )  # completed by now, and the 204 has been read
     await client.put("m3")
     for _ in range(2):
         await endpoint.call()
@@ -107,7 +109,7 @@
     await fleet.endpoint("a", answer(500))
     fleet.discovery.notice_status = [500] * 1000
     client = await fleet.start_process()
-    await client.put("u", kind="unsafe")
+    await client.put("u", message_class="unsafe")
     await fleet.discovery.final(500)
     await fleet.kill()
     fleet.discovery.notice_status = []
@@ -118,7 +120,7 @@
 @with_fleet
 async def test_an_expired_message_gets_its_notice_after_a_restart(fleet):
     client = await fleet.start_process()
-    await client.put("m", life=300, dest=99)
+    await client.put("m", lifetime_ms=300, dest=99)
     await fleet.kill()
     await asyncio.sleep(0.4)
     await fleet.start_process()
@@ -172,7 +174,7 @@
 async def test_sigterm_with_a_hung_call_ends_in_time(fleet):
     endpoint = await fleet.endpoint("a", "hang")
     client = await fleet.start_process()
-    await client.put("u", kind="unsafe")
+    await client.put("u", message_class="unsafe")
     await endpoint.call()
     start = time.monotonic()
     fleet.process.send_signal(signal.SIGTERM)
@@ -185,7 +187,7 @@
     # With more clients than descriptors, the client connections that were idle longest are closed.
     endpoint = await fleet.endpoint("a")
     fleet.limits["sockets"] = 40
-    await fleet.start_process(files=40)
+    await fleet.start_process(descriptor_limit=40)
     clients = []
     for _ in range(80):
         with contextlib.suppress(OSError):
--- a/tests/test_restored_messages.py
+++ b/tests/test_restored_messages.py
@@ -119,15 +119,20 @@
 def test_messages_of_each_class_are_attempted_after_a_restart(tmp_path, stop_signal, instance_count):
     async def run():
         async with Fleet(tmp_path) as fleet:
-            fleet.raw["groupSize"] = instance_count
-            fleet.raw["familyInfo"]["maxCalls"] = SLOTS
+            fleet.raw_settings["groupSize"] = instance_count
+            fleet.raw_settings["familyInfo"]["maxCalls"] = SLOTS
             endpoint = await fleet.endpoint("a")
             fleet.discovery.targets["a"]["state"] = "terminating"  # no attempt starts before the restart
             client = await fleet.start_process()
             message_ids = [f"m{n}" for n in range(18)]
             for n, message_id in enumerate(message_ids):
-                kind = ("safe", "keyed", "unsafe")[n % 3]
-                assert await client.put(message_id, kind=kind, key=f"k{n}" * (n % 3 == 1), life=6000) == "+OK"
+                class_name = ("safe", "keyed", "unsafe")[n % 3]
+                assert (
+                    await client.put(
+                        message_id, message_class=class_name, key=f"k{n}" * (n % 3 == 1), lifetime_ms=6000
+                    )
+                    == "+OK"
+                )
             fleet.process.send_signal(stop_signal)
             await bounded(fleet.process.wait())
             assert endpoint.calls.empty()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -267,7 +267,7 @@
                 path, create_journal_of_the_earlier_process(tmp_path / "state", time.time())
             )
             handover = asyncio.ensure_future(earlier.hand_over())
-            fleet.relay = new = RelayServer(loop, load_configuration(fleet.env()))
+            fleet.relay = new = RelayServer(loop, load_configuration(fleet.write_configuration()))
             new.prepare()
             await bounded(new_process.take_over(loop, new, path))
             await bounded(handover)
@@ -321,7 +321,7 @@
                 path, create_journal_of_the_earlier_process(tmp_path / "state", time.time())
             )
             handover = asyncio.ensure_future(earlier.hand_over())
-            fleet.relay = new = RelayServer(loop, load_configuration(fleet.env()))
+            fleet.relay = new = RelayServer(loop, load_configuration(fleet.write_configuration()))
             new.watch.start = lambda: None  # its list would replace the recorded endpoints
             new.prepare()
             await bounded(new_process.take_over(loop, new, path))
--- a/tests/test_wide_lists.py
+++ b/tests/test_wide_lists.py
@@ -47,7 +47,7 @@
 def test_one_instance_of_1100_applies_a_list_of_1100_endpoints(tmp_path, form):
     async def run():
         async with Fleet(tmp_path, settings()) as fleet:
-            fleet.raw["groupSize"] = ENDPOINT_COUNT
+            fleet.raw_settings["groupSize"] = ENDPOINT_COUNT
             await fleet.endpoint("a")
             await fleet.start_relay()
             relay = fleet.relay
