--- a/tests/policy_scenario_settings.py
+++ b/tests/policy_scenario_settings.py
@@ -1,10 +1,10 @@
-"""The settings of the days in `policy_scenarios`, by names that no build's types enter."""
+"""Settings of the scenarios in `policy_scenarios`, under keys that do not depend on the names of the code."""
 
 from __future__ import annotations
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # in microseconds
 
-# Settings by neutral names: (classes, kinds, tenants, everything else).
+# Fields of a message class; its times are in microseconds.
 CLASS_FIELDS = (
     "name",
     "objective",
@@ -34,6 +34,8 @@
     _class("ordered unsafe", SECOND, 8 * SECOND, "unsafe", 1.0, 0.0, "all", 0, True),
 )
 
+# Fields of the settings by scenario. An entry of "kinds" is a destination type: whether its endpoints are
+# independent, and its maximum batch size. An entry of "tenants" is a share, and a quota in messages a second.
 SCENARIOS = {
     "small-fleet": {
         "slots": 6,
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -144,7 +144,7 @@
 
 
 class Adapter:
-    """Runs the policy on the plain tuples of `policy_scenarios`, which name no types of a build."""
+    """Runs the policy on the plain tuples of `policy_scenarios`."""
 
     def __init__(self, scenario, seed):
         self.settings = settings_of(scenario)
