--- a/tests/hot_restart_pair.py
+++ b/tests/hot_restart_pair.py
@@ -1,6 +1,6 @@
-"""Two servers in one process for the tests of the hot restart.
+"""Two relay servers in one process, for tests of hot restarts.
 
-The lock belongs to the open file, so it excludes the other server as it would another process.
+The journal's lock belongs to its open file, so it excludes the other server as it would exclude a process.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 
 
 class BlockedEndpoint(Endpoint):
-    """Answers once `open` is set."""
+    """Endpoint that answers no request before `open` is set."""
 
     def __init__(self):
         super().__init__()
@@ -29,7 +29,7 @@
 
 
 class ProcessPair:
-    """The old process, which serves, and the new one that is started beside it."""
+    """The server that stands for the old process, and the one that stands for the new process."""
 
     def __init__(self, fleet):
         self.fleet, self.loop = fleet, asyncio.get_running_loop()
@@ -40,16 +40,17 @@
         self.listener.listen()
 
     def prepare_new_process(self):
-        """Prepare the new process, up to where it would ask for the journal."""
+        """Create the new process and prepare it up to the point where it requests a handover; return it."""
         self.fleet.raw_settings = self.fleet.raw_settings or settings()
         self.new_process = RelayServer(self.loop, load_configuration(self.fleet.write_configuration()))
         self.new_process.prepare()
         return self.new_process
 
     async def hot_restart(self):
+        """Restart into a new process and return it."""
         new = self.prepare_new_process()
         await bounded(new_process.take_over(self.loop, new, self.path))
-        self.fleet.relay = new  # the fleet closes it
+        self.fleet.relay = new  # closed with the fleet
         return new
 
     def close(self):
@@ -61,51 +62,59 @@
 
 
 def with_process_pair(test):
+    """Decorate a test coroutine, which receives a fleet and start().
+
+    start() starts the old process and returns a client and the `ProcessPair`.
+    """
+
     @with_fleet
     async def run(fleet):
-        kept = {}
+        started = {}
 
         async def start():
-            kept["client"] = await fleet.start_relay()
-            kept["pair"] = ProcessPair(fleet)
-            return kept["client"], kept["pair"]
+            started["client"] = await fleet.start_relay()
+            started["pair"] = ProcessPair(fleet)
+            return started["client"], started["pair"]
 
         try:
             await test(fleet, start)
         finally:
-            if "pair" in kept:
-                kept["pair"].close()
+            if "pair" in started:
+                started["pair"].close()
 
     return run
 
 
 async def add_blocked_endpoint(fleet, uid="g", dest=7):
+    """Start a `BlockedEndpoint`, add it to the endpoint list and return it."""
     fleet.endpoints[uid] = await BlockedEndpoint().start()
     fleet.discovery.add_target(uid, fleet.endpoints[uid].port, dest)
     return fleet.endpoints[uid]
 
 
 class ScriptedRequester:
-    """The new process, which dies wherever a test wants it to."""
+    """Connection of a new process, whose frames the test sends and which may end at any step."""
 
     def __init__(self, pair):
         sock = socket.socket(socket.AF_UNIX)
         sock.connect(str(pair.path))
         self.received_frames, self.disconnected = asyncio.Queue(), asyncio.Event()
-        self.channel = channel.Channel(pair.loop, sock, self.received, self.disconnected.set)
+        self.channel = channel.Channel(pair.loop, sock, self.frame_received, self.disconnected.set)
 
-    def received(self, frame):
+    def frame_received(self, frame):
         self.received_frames.put_nowait(frame.encode())
 
-    async def wait_for_frame(self, kind):
-        while (await bounded(self.received_frames.get()))[0] != kind:
+    async def wait_for_frame(self, name):
+        """Receive frames up to the one with this name."""
+        while (await bounded(self.received_frames.get()))[0] != name:
             pass
 
 
-async def assert_still_serves(fleet, pair, client, endpoint, name):
+async def assert_still_serves(fleet, pair, client, endpoint, message_id):
+    """Wait until the old process has ended the handover, then check that it serves old and new clients."""
     while pair.old_process.events.paused or pair.listener.channel is not None:
         await asyncio.sleep(0.001)
-    assert pair.old_process.unready_reason() == "" and await client.put(name, dest=8) == "+OK"
-    assert (await endpoint.call())[1]["x-request-id"] == name
-    late_client = await Client().open(fleet.relay_port())
-    assert await late_client.send(Client.command(b"PING")) == "+PONG"
+    assert pair.old_process.unready_reason() == "" and await client.put(message_id, dest=8) == "+OK"
+    assert (await endpoint.call())[1]["x-request-id"] == message_id
+    new_client = await Client().open(fleet.relay_port())
+    assert await new_client.send(Client.command(b"PING")) == "+PONG"
--- a/tests/wire_settings.py
+++ b/tests/wire_settings.py
@@ -1,11 +1,11 @@
-"""The settings of an instance as its configuration gives them."""
+"""Settings of an instance under the keys of its configuration file."""
 
 from __future__ import annotations
 
 
 def settings(**changes):
-    """Settings as on the wire; a change is given as group__name=value."""
-    raw = {
+    """Return the settings; `group__key=value` changes the value of a key in a group."""
+    raw_settings = {
         "classes": [
             {
                 "name": "safe",
@@ -57,5 +57,5 @@
     }
     for name, value in changes.items():
         group, _, key = name.partition("__")
-        raw[group][key] = value
-    return raw
+        raw_settings[group][key] = value
+    return raw_settings
