--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -22,7 +22,7 @@
         b"MSG.PUT", b"0", b"id", b"c=safe,t=t,d=999999999999,dest=7", b""
     ),
     "no idempotency key": command(b"MSG.PUT", b"0", b"id", b"c=keyed,t=t,d=900,dest=7", b""),
-    "unknown tenant": command(b"MSG.PUT", b"0", b"id", b"c=safe,t=nobody,d=900,dest=7", b""),
+    "unknown tenant": command(b"MSG.PUT", b"0", b"id", b"c=safe,t=unknown,d=900,dest=7", b""),
     "unknown destination": command(b"MSG.PUT", b"0", b"id", b"c=safe,t=t,d=900,dest=99", b""),
     "id with a space": command(b"MSG.PUT", b"0", b"i d", b"c=safe,t=t,d=900,dest=7", b""),
     "empty id": command(b"MSG.PUT", b"0", b"", b"c=safe,t=t,d=900,dest=7", b""),
@@ -143,10 +143,10 @@
         sock.setblocking(False)
         sock.connect_ex(("127.0.0.1", fleet.port))
         silent_sockets.append(sock)
-    for n in range(5):
+    for number in range(5):
         new_client = await Client().open(fleet.port)
-        assert await asyncio.wait_for(new_client.put(f"f{n}"), 0.4) == "+OK"
-        assert await asyncio.wait_for(new_client.put(f"m{n}"), 0.4) == "+OK"
+        assert await asyncio.wait_for(new_client.put(f"f{number}"), 0.4) == "+OK"
+        assert await asyncio.wait_for(new_client.put(f"m{number}"), 0.4) == "+OK"
     for sock in silent_sockets:
         sock.close()
 
@@ -183,16 +183,16 @@
     await fleet.start_relay()
     max_connections = fleet.relay.clients.table.max_connections
     idle_clients = [await Client().open(fleet.relay_port()) for _ in range(max_connections - 1)]
-    for n, client in enumerate(idle_clients):
-        assert await client.put(f"m{n}") == "+OK"
+    for number, client in enumerate(idle_clients):
+        assert await client.put(f"m{number}") == "+OK"
     new_clients = [await Client().open(fleet.relay_port()) for _ in range(max_connections // 2)]
     await asyncio.sleep(0)
-    for n, client in enumerate(new_clients):
-        assert await client.put(f"f{n}") == "+OK"
+    for number, client in enumerate(new_clients):
+        assert await client.put(f"f{number}") == "+OK"
 
 
 @with_fleet
-async def test_only_a_share_of_the_idle_connections_is_kept(fleet):
+async def test_only_a_share_of_the_idle_connections_stays_open(fleet):
     # If every idle connection stayed open for 3 s, a hundred new ones a second would reach the limit, and
     # further clients could not connect.
     fleet.limits["sockets"] = 80
@@ -200,9 +200,9 @@
     await fleet.start_relay()
     max_connections = fleet.relay.clients.table.max_connections
     idle_clients = []
-    for n in range(max_connections):
+    for number in range(max_connections):
         idle_clients.append(await Client().open(fleet.relay_port()))
-        assert await idle_clients[-1].put(f"m{n}") == "+OK"
+        assert await idle_clients[-1].put(f"m{number}") == "+OK"
     assert (
         len(fleet.relay.clients.connections) <= max_connections * connection_table.IDLE_CONNECTION_SHARE + 1
     )
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -28,6 +28,7 @@
         return self
 
     async def line(self):
+        """Return the line that the relay sends, or "" if it closes the connection instead."""
         self.sock.setblocking(False)
         received = b""
         with contextlib.suppress(ConnectionResetError):
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -52,12 +52,13 @@
 
 
 async def add_endpoint(fleet, endpoint):
+    """Start the endpoint, add it to the endpoint list as "a" and return it."""
     fleet.endpoints["a"] = await endpoint.start()
     fleet.discovery.add_target("a", endpoint.port, 7)
     return endpoint
 
 
-async def all_completed(fleet):
+async def wait_until_all_completed(fleet):
     while fleet.relay.journal.messages:
         await asyncio.sleep(0.01)
 
@@ -71,11 +72,11 @@
     client = await fleet.start_relay()
     for number in range(60):
         await client.put(f"m{number}")
-        await all_completed(fleet)
+        await wait_until_all_completed(fleet)
     assert endpoint.accepted == 1 and endpoint.calls.qsize() == 60
     client.writer.write(b"".join(client.message(f"n{number}") for number in range(4)))
     assert [await client.line() for _ in range(4)] == ["+OK"] * 4
-    await all_completed(fleet)
+    await wait_until_all_completed(fleet)
     assert endpoint.accepted > 1 and endpoint.calls.qsize() == 64  # one attempt each
     assert fleet.discovery.finals.empty()
 
@@ -86,11 +87,11 @@
     client = await fleet.start_relay()
     for number in range(8):
         await client.put(f"m{number}")
-        await all_completed(fleet)
+        await wait_until_all_completed(fleet)
     for burst in range(6):
         client.writer.write(b"".join(client.message(f"b{burst}-{number}") for number in range(6)))
         assert [await client.line() for _ in range(6)] == ["+OK"] * 6
-        await all_completed(fleet)
+        await wait_until_all_completed(fleet)
     assert fleet.discovery.finals.empty()  # none was rejected: connections within the limit are reused
     assert endpoint.calls.qsize() < 44 + 12  # the policy stops exceeding the limit
 
@@ -103,11 +104,11 @@
     client = await fleet.start_relay()
     for number in range(6):
         await client.put(f"s{number}")
-        await all_completed(fleet)
+        await wait_until_all_completed(fleet)
     assert fleet.relay.policy.state.statistics.reset_rates.reused > 0.08
     for number in range(8):
         await client.put(f"u{number}", message_class="unsafe")
-        await all_completed(fleet)
+        await wait_until_all_completed(fleet)
     assert fleet.discovery.finals.empty()
     circuits = [state.circuit for state in fleet.relay.policy.state.endpoints.values()]
     # The endpoint responds, so its circuit breaker stays closed, without a slow start.
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -40,10 +40,11 @@
 
 
 def sent_attempts(policy, now, *events):
+    """Run a tick with the events and return its SendAttempt actions."""
     return [action for action in policy.handle(now, events) if isinstance(action, SendAttempt)]
 
 
-def test_cordoned_endpoint_gets_nothing_new_whatever_the_list_says():
+def test_cordoned_endpoint_gets_no_attempts_while_it_is_listed_as_ready():
     policy = make_policy()
     sent_attempts(policy, 0, LISTED, EndpointCordoned(1))
     used_endpoints, message, now = [], 0, 0
@@ -82,10 +83,10 @@
 
 @with_fleet
 async def test_a_cordon_persists_across_lists_and_restarts_until_it_is_removed(fleet):
-    a, b = await fleet.endpoint("a"), await fleet.endpoint("b")
+    endpoint_a, endpoint_b = await fleet.endpoint("a"), await fleet.endpoint("b")
     client = await fleet.start_process()
-    assert (await fleet.run_command("cordon nobody")).startswith("NAK ")
-    assert (await fleet.run_command("uncordon nobody")).startswith("NAK ")
+    assert (await fleet.run_command("cordon unlisted")).startswith("NAK ")
+    assert (await fleet.run_command("uncordon unlisted")).startswith("NAK ")
     assert await fleet.run_command("cordon a") == "ACK\n"
     assert await fleet.run_command("cordon a") == "ACK\n"
     while (await fleet.metrics())["app_hosts_down"] != 1:
@@ -94,22 +95,24 @@
     fleet.discovery.change("a", state="in_service")
     while (await fleet.metrics())["app_hosts_listed"] != 2:
         await asyncio.sleep(0.01)
-    for n in range(10):
-        assert await client.put(f"m{n}") == "+OK"
-        await b.call()
+    for number in range(10):
+        assert await client.put(f"m{number}") == "+OK"
+        await endpoint_b.call()
     await fleet.kill()
     client = await fleet.start_process()
-    for n in range(10, 20):
-        assert await client.put(f"m{n}") == "+OK"
-        await b.call()
-    assert a.calls.empty()
+    for number in range(10, 20):
+        assert await client.put(f"m{number}") == "+OK"
+        await endpoint_b.call()
+    assert endpoint_a.calls.empty()
     assert await fleet.run_command("cordon b") == "ACK\n"
     assert await fleet.run_command("uncordon a") == "ACK\n"
     assert await fleet.run_command("uncordon a") == "ACK\n"
     assert await client.put("last") == "+OK"
-    assert (await a.call())[1]["x-request-id"] == "last"
-    # Messages in flight at the kill were sent again, also to b; only the last message must not be there.
-    assert all(b.calls.get_nowait()[1]["x-request-id"] != "last" for _ in range(b.calls.qsize()))
+    assert (await endpoint_a.call())[1]["x-request-id"] == "last"
+    # Messages in flight at the kill were sent again, also to endpoint b; the last one must not be.
+    assert all(
+        endpoint_b.calls.get_nowait()[1]["x-request-id"] != "last" for _ in range(endpoint_b.calls.qsize())
+    )
 
 
 @with_fleet
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -45,7 +45,7 @@
 
 
 def reject(watch):
-    """Reject the watch, advance the clock by its wait and return the wait in seconds."""
+    """Reject the request of the watch and advance the clock by its wait, which is returned in seconds."""
     watch.headers_received(503, {})
     watch.loop.now += watch.loop.delay
     return watch.loop.delay
@@ -269,6 +269,8 @@
 
 
 def without_discovery(failure):
+    """Return a coroutine function that makes discovery silent or unreachable."""
+
     async def silent(reader, writer):
         await reader.read()
 
--- a/tests/test_endpoint_calls.py
+++ b/tests/test_endpoint_calls.py
@@ -51,6 +51,7 @@
         self.health.put_nowait(result)
 
     async def send(self, port, *message_ids, timeout_us=5_000_000, body=b"x"):
+        """Send the messages in one call; return the id and the outcome of each."""
         self.client.set_address(1, ("127.0.0.1", port))
         attempts = [
             CallAttempt(number, 0, message_id, "k" + message_id, body, timeout_us)
@@ -267,24 +268,24 @@
     # The endpoint closes the connection just before the next call, which would be reset on it.
     async def run():
         listener = socket.create_server(("127.0.0.1", 0))
-        end, ended = threading.Event(), threading.Event()
+        close_requested, closed = threading.Event(), threading.Event()
 
         def serve():
             for _ in range(2):
                 peer, _ = listener.accept()
                 peer.recv(65536)
                 peer.sendall(answer(200))
-                end.wait(10)
+                close_requested.wait(10)
                 peer.close()
-                ended.set()
+                closed.set()
 
         thread = threading.Thread(target=serve)
         thread.start()
         observer = RecordingObserver()
         port = listener.getsockname()[1]
         await observer.send(port, "a")
-        end.set()
-        ended.wait(10)  # blocks the event loop, which cannot process the close
+        close_requested.set()
+        closed.wait(10)  # blocks the event loop, which cannot process the close
         assert (await observer.send(port, "b"))[0][1].result is AttemptResult.OK
         assert observer.client.calls_on_new_connections == 2
         observer.client.close()
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -33,7 +33,7 @@
         "endpoints": len(state.endpoints),
         "messages": len(state.messages),
         "calls": len(state.calls),
-        "groups": sum(len(lane.endpoints) for d in state.destinations.values() for lane in d.groups),
+        "groups": sum(len(group.endpoints) for d in state.destinations.values() for group in d.groups),
         "keys": len(state.order_queues),
         "order pauses": len(state.order_pauses),
         "notices": len(relay.notifier.pending),
@@ -50,16 +50,16 @@
     relay = fleet.relay
     await bounded(fleet.discovery.watches.get())
     sizes = []
-    for n in range(1, 60):
-        assert await client.put(f"m{n}", message_class="keyed", key=f"k{n}") == "+OK"
+    for number in range(1, 60):
+        assert await client.put(f"m{number}", message_class="keyed", key=f"k{number}") == "+OK"
         await endpoint.call()
-        fleet.discovery.add_target(f"e{n}", endpoint.port, 7)
-        fleet.discovery.change(f"e{n}", state="in_service")
-        fleet.discovery.change(f"e{n - 1}", state="terminated")
-        del fleet.discovery.targets[f"e{n - 1}"]
+        fleet.discovery.add_target(f"e{number}", endpoint.port, 7)
+        fleet.discovery.change(f"e{number}", state="in_service")
+        fleet.discovery.change(f"e{number - 1}", state="terminated")
+        del fleet.discovery.targets[f"e{number - 1}"]
         while relay.watch.revision != fleet.discovery.rev or relay.journal.messages or relay.calls.in_flight:
             await asyncio.sleep(0.002)
-        if n in (10, 59):
+        if number in (10, 59):
             await asyncio.sleep(0.05)
             sizes.append(container_sizes(relay))
     assert sizes[0] == sizes[1] and sizes[0]["uids"] == sizes[0]["endpoints"] == 1 == sizes[0]["pools"]
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -26,7 +26,7 @@
     client, pair = await start()
     old = pair.old_process
     partial_client = await Client().open(fleet.relay_port())
-    partial_client.writer.write(Client.message("half", dest=8)[:25])
+    partial_client.writer.write(Client.message("partial", dest=8)[:25])
     assert await client.put("u", message_class="unsafe") == "+OK"
     await blocked.call()
     old.operations.cordon("f")
@@ -35,8 +35,8 @@
     new = await pair.hot_restart()
     assert new.unready_reason() == "" and old.unready_reason() == "handed over"
     assert await client.put("next", dest=8) == "+OK"  # on the transferred connection
-    assert await partial_client.send(Client.message("half", dest=8)[25:]) == "+OK"
-    assert {(await endpoint_e.call())[1]["x-request-id"] for _ in range(2)} == {"next", "half"}
+    assert await partial_client.send(Client.message("partial", dest=8)[25:]) == "+OK"
+    assert {(await endpoint_e.call())[1]["x-request-id"] for _ in range(2)} == {"next", "partial"}
     # The old process drains its call in flight.
     assert not old.lifecycle.closed.done() and new.journal.open_count >= 1
     blocked.open.set()
@@ -89,11 +89,11 @@
 
 
 @with_process_pair
-async def test_if_the_new_process_ends_before_it_owns_the_journal_the_old_one_serves_on(fleet, start):
+async def test_if_the_new_process_ends_before_it_owns_the_journal_the_old_one_keeps_serving(fleet, start):
     endpoint = await fleet.endpoint("e", dest=8)
     blocked = await add_blocked_endpoint(fleet)
     client, pair = await start()
-    assert await client.put("out") == "+OK"
+    assert await client.put("in-flight") == "+OK"
     await blocked.call()
     # The new process connects and ends before it sends a request.
     requester = ScriptedRequester(pair)
@@ -167,10 +167,10 @@
 
 
 @with_process_pair
-async def test_after_malformed_frames_other_versions_and_timeouts_the_old_process_serves_on(fleet, start):
+async def test_after_malformed_frames_other_versions_and_timeouts_the_old_process_keeps_serving(fleet, start):
     endpoint = await fleet.endpoint("e", dest=8)
     client, pair = await start()
-    for n, message in enumerate(([], ["take", 99], ["take"], ["owned"], ["what", 1])):
+    for number, message in enumerate(([], ["take", 99], ["take"], ["owned"], ["what", 1])):
         requester = ScriptedRequester(pair)
         requester.channel.send_values(message)
         if message == ["take", 99]:
@@ -178,7 +178,7 @@
         elif message and len(message) == 2:
             await asyncio.sleep(0.01)
         requester.channel.close()
-        await assert_still_serves(fleet, pair, client, endpoint, f"m{n}")
+        await assert_still_serves(fleet, pair, client, endpoint, f"m{number}")
     requester = ScriptedRequester(pair)
     requester.channel._sock.send(b"\xff" * 100)
     await bounded(requester.disconnected.wait())
--- a/tests/test_hot_restart_processes.py
+++ b/tests/test_hot_restart_processes.py
@@ -64,10 +64,10 @@
     second_requester.close()
     listener.close()
     assert not path.exists()
-    (directory / "file").write_text("kept")
+    (directory / "file").write_text("content")
     second_listener = old_process.HotRestartListener(loop, fleet.relay.transfer, directory / "file")
     second_listener.listen()  # not a socket: neither replaced nor a reason to exit
-    assert second_listener.sock is None and (directory / "file").read_text() == "kept"
+    assert second_listener.sock is None and (directory / "file").read_text() == "content"
 
 
 @pytest.mark.parametrize("socket_error_number", [errno.EPERM, errno.ENOSYS, errno.EMFILE, errno.EAFNOSUPPORT])
@@ -76,10 +76,10 @@
 ):
     create_socket = socket.socket
 
-    def reject(family=-1, *rest, **kw):
+    def reject(family=-1, *arguments, **options):
         if family == socket.AF_UNIX:
             raise OSError(socket_error_number, "refused")
-        return create_socket(family, *rest, **kw)
+        return create_socket(family, *arguments, **options)
 
     @with_fleet
     async def serve(fleet):
@@ -130,6 +130,7 @@
 
 
 def start_process(fleet, listener, port):
+    """Start a relay that inherits the listening socket and serves the admin console on the port."""
     env = {
         **os.environ,
         **fleet.write_configuration(),
@@ -216,8 +217,8 @@
     journal.close()
 
 
-@pytest.mark.parametrize("case", ["word", "closed", "file", "not listening", "unix", "negative"])
-def test_a_bad_descriptor_ends_the_start_with_one_line(tmp_path, case):
+@pytest.mark.parametrize("case", ["not a number", "closed", "file", "not listening", "unix", "negative"])
+def test_an_invalid_descriptor_is_reported_in_one_line(tmp_path, case):
     configuration = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}
     (tmp_path / "config.json").write_text(json.dumps(configuration))
     sock = socket.socket(socket.AF_UNIX if case == "unix" else socket.AF_INET)
@@ -226,7 +227,7 @@
         sock.listen()
     with open(tmp_path / "config.json") as file, sock:
         fd = file.fileno() if case == "file" else sock.fileno()
-        descriptor_text = {"word": "seven", "closed": "99", "negative": "-3"}.get(case, str(fd))
+        descriptor_text = {"not a number": "seven", "closed": "99", "negative": "-3"}.get(case, str(fd))
         env = {
             **os.environ,
             "LB_CONFIG": str(tmp_path / "config.json"),
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -20,17 +20,17 @@
     journal.close()
 
 
-def test_compaction_keeps_what_is_open_and_stays_under_the_limit(tmp_path):
+def test_compaction_keeps_open_messages_and_stays_under_the_limit(tmp_path):
     limit = 60_000
     journal = Journal(tmp_path, limit).acquire()
     open_message = AcceptedMessage(1, "keep", 0, 0, 7, "k", time.time() + 9, False, b"body")
     journal.accept(open_message)
     journal.record_attempt([1], 123.0)
-    for n in range(2, 1500):
-        journal.accept(AcceptedMessage(n, f"m{n}", 0, 0, 7, "", time.time() + 9, False, b"x" * 300))
-        journal.record_attempt([n], 1.0)
-        journal.record_not_applied(n)
-        journal.record_completed([n])
+    for number in range(2, 1500):
+        journal.accept(AcceptedMessage(number, f"m{number}", 0, 0, 7, "", time.time() + 9, False, b"x" * 300))
+        journal.record_attempt([number], 1.0)
+        journal.record_not_applied(number)
+        journal.record_completed([number])
         journal.finished_ids.expire(time.time() + 60)
         assert sum(-(-f.stat().st_size // 512) * 512 for f in tmp_path.iterdir()) <= limit
     journal.close()
@@ -67,11 +67,15 @@
     compactions = []
     compact = journal.compact
     monkeypatch.setattr(journal, "compact", lambda: (compactions.append(1), compact()))
-    for n in range(1, 12001):  # 300 messages a second for 40 s
+    for number in range(1, 12001):  # 300 messages a second for 40 s
         now[0] += 1 / 300
-        journal.accept(AcceptedMessage(n, f"{n:016x}", 1, 0, 7, f"{n:016x}", now[0] + 12, False, b"x" * 200))
-        journal.record_attempt([n], now[0])
-        journal.record_completed([n])
+        journal.accept(
+            AcceptedMessage(
+                number, f"{number:016x}", 1, 0, 7, f"{number:016x}", now[0] + 12, False, b"x" * 200
+            )
+        )
+        journal.record_attempt([number], now[0])
+        journal.record_completed([number])
     assert (
         14 * 300 <= len(journal.finished_ids) <= 16 * 300
         and 14 * 300 <= len(journal.idempotency_keys) <= 16 * 300
@@ -96,9 +100,9 @@
     compactions = []
     compact = journal.compact
     monkeypatch.setattr(journal, "compact", lambda: (compactions.append(1), compact()))
-    for n in range(1, accepted):
-        journal.record_attempt([n], 1.0)
-        journal.record_not_applied(n)
+    for number in range(1, accepted):
+        journal.record_attempt([number], 1.0)
+        journal.record_not_applied(number)
     with contextlib.suppress(JournalFullError):
         for _ in range(100):
             journal.accept(
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -115,17 +115,19 @@
     calls, sent, now_us, message = [], [], 1000 * SECOND, 0
     for policy in policies:
         policy.handle(now_us, [endpoint_list])
-    for step in range(4000):  # 40 s, 40 messages a second, spread over the instances in a fixed order
+    for tick in range(4000):  # 40 s, 40 messages a second, spread over the instances in a fixed order
         now_us += 10_000
-        inbox = {}
-        if step % 2 == 0 and step % 5:
+        events_by_instance = {}
+        if tick % 2 == 0 and tick % 5:
             message += 1
-            inbox[message * 37 % instance_count] = [MessageSubmitted(message, 0, 1, now_us + 10 * SECOND)]
+            events_by_instance[message * 37 % instance_count] = [
+                MessageSubmitted(message, 0, 1, now_us + 10 * SECOND)
+            ]
         for (_, instance), event in [x for x in calls if x[0][0] <= now_us]:
-            inbox.setdefault(instance, []).append(event)
+            events_by_instance.setdefault(instance, []).append(event)
         calls = [x for x in calls if x[0][0] > now_us]
-        for instance in range(instance_count) if step % 20 == 0 else sorted(inbox):
-            for action in policies[instance].handle(now_us, inbox.get(instance, [])):
+        for instance in range(instance_count) if tick % 20 == 0 else sorted(events_by_instance):
+            for action in policies[instance].handle(now_us, events_by_instance.get(instance, [])):
                 if isinstance(action, SendAttempt):
                     sent.append((now_us, policies[instance].state.endpoints[100].circuit.failure_rate > 0))
                     attempt = policies[instance].state.messages[action.message].attempts - 1
@@ -250,13 +252,13 @@
 
 
 @pytest.mark.parametrize("independent", [False, True])
-def test_replaced_endpoints_leave_no_state_behind(independent):
+def test_state_of_replaced_endpoints_is_removed(independent):
     driver = large_fleet(destination_types=(DestinationType("k", independent_endpoints=independent),))
-    for n in range(3000):
+    for number in range(3000):
         driver.run_tick(
             EndpointListReceived(
                 EndpointListForm.DELTA,
-                (endpoint_entry(101 + n), endpoint_entry(100 + n, state=EndpointState.REMOVED)),
+                (endpoint_entry(101 + number), endpoint_entry(100 + number, state=EndpointState.REMOVED)),
             )
         )
     state = driver.policy.state
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -28,6 +28,7 @@
 
 
 def report_load(driver, remaining_share, limit, endpoint=100):
+    """Report the load of an endpoint and return the group of endpoint 100."""
     driver.run_tick(LoadReportReceived(endpoint, (remaining_share, limit)))
     return driver.policy.state.endpoints[100].group
 
@@ -35,7 +36,9 @@
 @pytest.mark.parametrize("instance_count", [1, 3, 40])
 def test_exhausted_limit_cuts_each_instance_to_its_share(instance_count):
     driver = PolicyDriver(instance_count=instance_count, call_slots=4, load_report_fields=("x0", "x1"))
-    report_load(driver, 0.6, 40.0).rate_limit_per_s = 40.0  # it used shares of other instances
+    report_load(
+        driver, 0.6, 40.0
+    ).rate_limit_per_s = 40.0  # above its share: other instances sent less than theirs
     assert report_load(driver, 0.3, 40.0).rate_limit_per_s == 40.0
     assert report_load(driver, 0.05, 40.0).rate_limit_per_s == 40.0 / instance_count
     # A rate that an earlier rejection has cut is not raised.
--- a/tests/test_malformed_responses.py
+++ b/tests/test_malformed_responses.py
@@ -164,11 +164,11 @@
     # the endpoint's non-idempotent messages by seconds, and a few in a row would put it into slow start.
     endpoint = await fleet.endpoint("a", *([answer(200)] * 3 + [MALFORMED["arbitrary bytes"]] * 2))
     client = await fleet.start_relay()
-    for n in range(3):
-        await client.put(f"m{n}")
+    for number in range(3):
+        await client.put(f"m{number}")
         await endpoint.call()
-    for n in range(2):
-        await client.put(f"s{n}", message_class="unsafe")
+    for number in range(2):
+        await client.put(f"s{number}", message_class="unsafe")
         await endpoint.call()
         assert (await fleet.discovery.final())["status"] == "undeliverable"
     started_at = time.monotonic()
--- a/tests/test_mid_size_fleet.py
+++ b/tests/test_mid_size_fleet.py
@@ -98,12 +98,12 @@
         events = [EndpointListReceived(EndpointListForm.CACHED, (endpoint_entry(100),))]
         events += [MessageSubmitted(n, 0, 1, now_us + 10 * SECOND) for n in range(1, 7)]
         in_flight[instance] = actions_of(SendAttempt, policy.handle(now_us, events))
-    for step in range(200):  # 2 s; a response takes 100 ms and reports the limit
+    for tick in range(200):  # 2 s; a response takes 100 ms and reports the limit
         now_us += 10_000
         for instance, policy in enumerate(policies):
             events = []
-            for action in in_flight.pop(instance, []) if step % 10 == 9 else []:
-                counts[step >= 100] += 1
+            for action in in_flight.pop(instance, []) if tick % 10 == 9 else []:
+                counts[tick >= 100] += 1
                 events += [
                     LoadReportReceived(100, (0.5, limit)),
                     AttemptEnded(
--- a/tests/test_policy_hot_restart.py
+++ b/tests/test_policy_hot_restart.py
@@ -53,6 +53,7 @@
 
 
 def sends(actions):
+    """Return the message and the endpoint of each attempt that is sent."""
     return [(action.message, action.endpoint) for action in actions if isinstance(action, SendAttempt)]
 
 
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -1,9 +1,9 @@
-"""Property test: the actions of the policy keep the delivery rules for random settings and legal events."""
+"""Property test: the policy follows the delivery rules for random settings and valid random events."""
 
 import random
 
 from hypothesis import given
-from hypothesis import settings as examples
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from message_relay.model import (
@@ -74,39 +74,44 @@
     )
 
 
-@examples(max_examples=40, derandomize=True, deadline=None)
+@hypothesis_settings(max_examples=40, derandomize=True, deadline=None)
 @given(seed=st.integers(0, 2**32))
 def test_policy_rules_hold_for_arbitrary_events(seed):
     rng = random.Random(seed)
     settings = random_settings(rng)
     policy = DeliveryPolicy(settings, seed)
     locations = {100 + n: (n % 3, n % 2) for n in range(6)}  # endpoint: destination, zone
-    state = dict.fromkeys(locations, EndpointState.READY)
-    independent = [settings.destination_types[d % 2].independent_endpoints for d in range(3)]
-    batch = [settings.destination_types[d % 2].max_batch_size for d in range(3)]
+    endpoint_states = dict.fromkeys(locations, EndpointState.READY)
+    has_independent_endpoints = [
+        settings.destination_types[destination_id % 2].independent_endpoints for destination_id in range(3)
+    ]
+    max_batch_sizes = [
+        settings.destination_types[destination_id % 2].max_batch_size for destination_id in range(3)
+    ]
     now, last_message, retry_after_until, timers = 10 * SECOND, 0, {}, []
-    open_messages, history, in_flight, ended, order, paused_until = {}, {}, {}, {}, [], {}
+    open_messages, history, in_flight, ended, submission_order, paused_until = {}, {}, {}, {}, [], {}
     result_weights = rng.choice(((9, 1, 1, 1, 1, 1, 1), (1, 3, 3, 3, 3, 1, 1), (5, 0, 4, 0, 4, 0, 0)))
 
     def group_of(endpoint):
-        return endpoint if independent[locations[endpoint][0]] else locations[endpoint][0] - 10
+        """Return a number of the endpoint's group; that of a group of several endpoints is negative."""
+        return endpoint if has_independent_endpoints[locations[endpoint][0]] else locations[endpoint][0] - 10
 
     def entry(endpoint):
         return EndpointEntry(
             endpoint,
             locations[endpoint][0],
-            state[endpoint],
+            endpoint_states[endpoint],
             4.0,
             locations[endpoint][0] % 2,
             locations[endpoint][1],
         )
 
-    inbox = [EndpointListReceived(EndpointListForm.CACHED, tuple(entry(endpoint) for endpoint in locations))]
+    events = [EndpointListReceived(EndpointListForm.CACHED, tuple(entry(endpoint) for endpoint in locations))]
     for _ in range(4000):
         now += TICK_US
         while timers and min(timers) <= now:
             timers.remove(min(timers))
-            inbox.append(TimerFired(0))
+            events.append(TimerFired(0))
         for key in [k for k in in_flight if in_flight[k][1] <= now]:
             endpoint, _, forced_result, sent = in_flight.pop(key)
             result = forced_result or rng.choices(list(AttemptResult)[:7], result_weights)[0]
@@ -124,7 +129,7 @@
             message_ended = result is AttemptResult.OK or key[0] in ended
             if message_ended and key[0] in open_messages:
                 ended[key[0]] = open_messages.pop(key[0])
-            inbox.append(
+            events.append(
                 AttemptEnded(key[0], key[1], endpoint, result, now - sent, message_ended, retry_after)
             )
         if rng.random() < 0.08 and len(open_messages) < settings.max_open_messages:
@@ -140,20 +145,20 @@
                 key,
             )
             history[last_message] = []
-            order.append(last_message)
-            inbox.append(open_messages[last_message])
+            submission_order.append(last_message)
+            events.append(open_messages[last_message])
         if rng.random() < 0.003:
             endpoint = rng.choice(list(locations))
-            state[endpoint] = rng.choice((EndpointState.READY, EndpointState.DRAINING))
-            inbox.append(EndpointListReceived(EndpointListForm.DELTA, (entry(endpoint),)))
+            endpoint_states[endpoint] = rng.choice((EndpointState.READY, EndpointState.DRAINING))
+            events.append(EndpointListReceived(EndpointListForm.DELTA, (entry(endpoint),)))
         if open_messages and rng.random() < 0.002:
             withdrawn = rng.choice(list(open_messages))
             ended[withdrawn] = open_messages.pop(withdrawn)
-            inbox.append(MessageWithdrawn(withdrawn))
-        if not inbox:
+            events.append(MessageWithdrawn(withdrawn))
+        if not events:
             continue
         calls = {}
-        for action in policy.handle(now, inbox):
+        for action in policy.handle(now, events):
             if isinstance(action, SetTimer):
                 timers.append(now + action.delay_us)
             elif isinstance(action, SendAttempt):
@@ -162,7 +167,7 @@
                 message_class = settings.classes[message.message_class]
                 assert (
                     locations[action.endpoint][0] == message.destination
-                    and state[action.endpoint] is EndpointState.READY
+                    and endpoint_states[action.endpoint] is EndpointState.READY
                 )
                 assert now >= retry_after_until.get(group_of(action.endpoint), 0), (
                     "sent before Retry-After ended"
@@ -179,27 +184,29 @@
                             or locations[action.endpoint][1] == locations[possibly_applied[0][1]][1]
                         )
                 if message.order_key:
-                    before = [
+                    earlier_messages = [
                         x
-                        for x in order[: order.index(action.message)]
+                        for x in submission_order[: submission_order.index(action.message)]
                         if (open_messages.get(x) or ended[x]).order_key == message.order_key
                     ]
                     assert not [
-                        x for x in before if x in open_messages or [k for k in in_flight if k[0] == x]
+                        x
+                        for x in earlier_messages
+                        if x in open_messages or [k for k in in_flight if k[0] == x]
                     ]
                     assert history[action.message] or now >= paused_until.get(message.order_key, 0)
-                end = now + min(action.timeout_us, message.deadline_us - now)
-                due = now + rng.choice((20_000, 100_000, 400_000, 20 * SECOND))
-                forced_result = AttemptResult.TIMEOUT if due >= end else None
+                timeout_at = now + min(action.timeout_us, message.deadline_us - now)
+                response_at = now + rng.choice((20_000, 100_000, 400_000, 20 * SECOND))
+                forced_result = AttemptResult.TIMEOUT if response_at >= timeout_at else None
                 in_flight[(action.message, len(history[action.message]))] = (
                     action.endpoint,
-                    min(due, end),
+                    min(response_at, timeout_at),
                     forced_result,
                     now,
                 )
                 calls[action.endpoint] = calls.get(action.endpoint, 0) + 1
             elif isinstance(action, (RejectMessage, FailMessage)):
-                if MessageWithdrawn(action.message) in inbox:
+                if MessageWithdrawn(action.message) in events:
                     continue  # the withdrawal is an event of this tick
                 message = open_messages.pop(action.message)
                 ended[action.message] = message
@@ -216,14 +223,19 @@
                         and message_class.key_scope is KeyScope.ALL
                     )
                     assert not [k for k in in_flight if k[0] == action.message]
-        for endpoint, n in calls.items():
-            assert n <= batch[locations[endpoint][0]] or batch[locations[endpoint][0]] == 1
-        if batch == [1, 1, 1]:
+        for endpoint, call_count in calls.items():
+            assert (
+                call_count <= max_batch_sizes[locations[endpoint][0]]
+                or max_batch_sizes[locations[endpoint][0]] == 1
+            )
+        if max_batch_sizes == [1, 1, 1]:
             assert len(in_flight) <= settings.call_slots
-            for d in range(3):
-                busy = len([1 for endpoint, *_ in in_flight.values() if locations[endpoint][0] == d])
-                assert busy <= max(1, int(DESTINATION_SLOT_SHARE * settings.call_slots))
-        inbox = []
+            for destination_id in range(3):
+                calls_in_flight = len(
+                    [1 for endpoint, *_ in in_flight.values() if locations[endpoint][0] == destination_id]
+                )
+                assert calls_in_flight <= max(1, int(DESTINATION_SLOT_SHARE * settings.call_slots))
+        events = []
         assert all(
             now <= message.deadline_us + settings.answer_slack_us for message in open_messages.values()
         ), "no final answer"
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -76,10 +76,10 @@
     # From here on the rate limit is one call in two seconds.
     driver.end_attempt(2, AttemptResult.REJECTED, retry_after_us=SECOND)
     driver.advance(4)
-    for n in range(3, 7):
-        assert [action.message for action in actions_of(SendAttempt, driver.submit())] == [n]
+    for number in range(3, 7):
+        assert [action.message for action in actions_of(SendAttempt, driver.submit())] == [number]
         driver.run_tick(
-            AttemptEnded(n, 0, 100, AttemptResult.NOT_ATTEMPTED, 1000, message_ended=True),
+            AttemptEnded(number, 0, 100, AttemptResult.NOT_ATTEMPTED, 1000, message_ended=True),
             after_us=SECOND // 100,
         )
 
--- a/tests/test_recovery_budget.py
+++ b/tests/test_recovery_budget.py
@@ -1,7 +1,7 @@
 """Recovery budget: calls of a simulated fleet to a recovering destination.
 
-They must not exceed the load that the settings allow: more would take the destination down again. Minimum
-rates, half-open attempts or first calls of many instances could add up to that.
+They must not exceed the load that the settings allow, as more would overload the destination again. Minimum
+rates, half-open attempts or first calls of many instances could add up to more.
 """
 
 import heapq
@@ -33,7 +33,7 @@
 SLOW_START_S = 9.5
 OVERLOAD_FACTOR = 2.0
 OVERLOAD_WINDOW_S = 3.0
-LOAD_SHARE = 0.7  # of the limit
+LOAD_SHARE = 0.7  # offered messages a second as a share of the limit
 RATE_SOURCES = {
     "unknown": {},
     "listed": {"rate_limits_advertised": True},
@@ -75,6 +75,7 @@
         self.run()
 
     def schedule(self, at_s, instance, event):
+        """Queue an event of an instance; None stands for a tick without an event."""
         self.event_count += 1
         heapq.heappush(self.queue, (at_s, self.event_count, instance, event))
 
@@ -103,6 +104,7 @@
                     self.schedule(at_s + max(0.001, action.delay_us / SECOND), instance, None)
 
     def call(self, at_s, instance, action):
+        """Record a call and schedule its outcome."""
         self.sent_at.append((at_s, instance in self.failed_instances))
         latency_s, result, retry_after_us = 0.15, AttemptResult.OK, 0
         if OUTAGE_START_S <= at_s < OUTAGE_END_S:
@@ -138,16 +140,16 @@
         """
         sent = [at_s for at_s, had_failure in self.sent_at if had_failure and at_s >= OUTAGE_END_S]
         maximum_share = 0.0
-        for n, at_s in enumerate(sent):
-            share = [
+        for index, at_s in enumerate(sent):
+            shares = [
                 min(
                     1.0, SLOW_START_SHARE + (1 - SLOW_START_SHARE) * max(0.0, x - OUTAGE_END_S) / SLOW_START_S
                 )
                 for x in (at_s - OVERLOAD_WINDOW_S, at_s)
             ]
-            if share[1] < 1.0:
-                allowed = OVERLOAD_FACTOR * self.limit * OVERLOAD_WINDOW_S * sum(share) / 2
-                calls = sum(x > at_s - OVERLOAD_WINDOW_S for x in sent[: n + 1])
+            if shares[1] < 1.0:
+                allowed = OVERLOAD_FACTOR * self.limit * OVERLOAD_WINDOW_S * sum(shares) / 2
+                calls = sum(x > at_s - OVERLOAD_WINDOW_S for x in sent[: index + 1])
                 maximum_share = max(maximum_share, calls / (allowed + 2 * math.sqrt(allowed) + 2))
         return maximum_share
 
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -1,4 +1,4 @@
-"""A relay server in the test's process, with scripted endpoints, discovery and clients."""
+"""A relay server in the process of the test, with scripted endpoints, discovery and clients."""
 
 import asyncio
 import time
@@ -75,17 +75,17 @@
     endpoint_b = await fleet.endpoint("b")
     client = await fleet.start_relay()
     await bounded(fleet.discovery.watches.get())
-    for n in range(4):
-        await client.put(f"m{n}")
+    for index in range(4):
+        await client.put(f"m{index}")
     fleet.discovery.change("a", state="terminating")
     while fleet.relay.watch.revision != fleet.discovery.rev:
         await asyncio.sleep(0.01)
-    before = endpoint_a.calls.qsize()
-    for n in range(4, 12):
-        await client.put(f"m{n}")
+    calls_before = endpoint_a.calls.qsize()
+    for index in range(4, 12):
+        await client.put(f"m{index}")
     while endpoint_a.calls.qsize() + endpoint_b.calls.qsize() < 12:
         await asyncio.sleep(0.01)
-    assert endpoint_a.calls.qsize() == before
+    assert endpoint_a.calls.qsize() == calls_before
     assert not fleet.relay.calls.pools[fleet.relay.directory.numbers["a"]].idle
     number = fleet.relay.directory.numbers["b"]
     fleet.discovery.change("b", state="terminated")
@@ -232,7 +232,7 @@
         async with Fleet(tmp_path) as fleet:
             await fleet.endpoint("a")
             client = await fleet.start_relay()
-            client.writer.write(client.message("half")[:-5])
+            client.writer.write(client.message("partial")[:-5])
             other = await Client().open(client.writer.get_extra_info("peername")[1])
             assert await other.put("m") == "+OK"
 
--- a/tests/test_restored_messages.py
+++ b/tests/test_restored_messages.py
@@ -1,6 +1,6 @@
-"""Restored messages: accepted but never attempted before a restart, they are attempted after it.
+"""Restored messages, which were accepted before a restart and not attempted, are attempted after it.
 
-Unlike new messages, the policy must not reject them for lack of capacity, in small and in large fleets.
+The policy may reject new messages if it has no capacity, but not restored ones, in small and in large fleets.
 """
 
 import asyncio
@@ -35,12 +35,14 @@
         self.attempted, self.ended, self.in_flight = [], [], []
         deadline_us = self.driver.now_us + lifetime_us
         restored = (
-            MessageSubmitted(n, message_class, 1, deadline_us, restored=True) for n in range(1, RESTORED + 1)
+            MessageSubmitted(number, message_class, 1, deadline_us, restored=True)
+            for number in range(1, RESTORED + 1)
         )
         self.record(self.driver.run_tick(*restored))
         self.driver.last_message = 1000
 
     def record(self, actions):
+        """Record the messages that are attempted or get a final answer, and the end of each call."""
         self.attempted += [action.message for action in actions_of(SendAttempt, actions)]
         self.in_flight += [
             (self.driver.now_us + self.latency_us, action.message, action.endpoint)
@@ -51,19 +53,25 @@
         ]
 
     def run(self, seconds, new_messages=0):
+        """Run a tick each 50 ms, with this number of new messages in every second one.
+
+        Return the restored messages that were attempted.
+        """
         for step in range(round(seconds * 20)):
             self.driver.now_us += 50_000
             self.record(self.driver.run_tick())
-            for due in [x for x in self.in_flight if x[0] <= self.driver.now_us]:
-                self.in_flight.remove(due)
+            for ended_call in [x for x in self.in_flight if x[0] <= self.driver.now_us]:
+                self.in_flight.remove(ended_call)
                 result, retry_after_us = self.result, self.retry_after_us
                 self.result, self.retry_after_us = AttemptResult.OK, 0  # for all attempts after the first
                 self.record(
-                    self.driver.end_attempt(due[1], result, self.latency_us, 0, due[2], retry_after_us)
+                    self.driver.end_attempt(
+                        ended_call[1], result, self.latency_us, 0, ended_call[2], retry_after_us
+                    )
                 )
             for _ in range(new_messages if step % 2 else 0):
                 self.record(self.driver.submit(message_class=0))
-        return {n for n in self.attempted if n <= RESTORED}
+        return {number for number in self.attempted if number <= RESTORED}
 
 
 @pytest.mark.parametrize("message_class", range(len(CLASSES)), ids=[c.name for c in CLASSES])
@@ -88,7 +96,7 @@
         instance_count, 0, 9 * SECOND, 100_000, AttemptResult.REJECTED, retry_after_us=300_000
     )
     assert len(restarted.run(9, new_messages=1)) == RESTORED
-    assert [n for n in restarted.ended if n <= RESTORED] == [1]
+    assert [number for number in restarted.ended if number <= RESTORED] == [1]
 
 
 @pytest.mark.parametrize("instance_count", [SMALL, LARGE])
@@ -96,8 +104,8 @@
     # No further message can be sent, as the only endpoint does not answer.
     restarted = RestartedPolicy(instance_count, 0, 9 * SECOND, 99 * SECOND)
     restarted.run(5, new_messages=3)
-    assert len([n for n in restarted.ended if n > RESTORED]) > 20
-    assert [n for n in restarted.ended if n <= RESTORED] == []
+    assert len([number for number in restarted.ended if number > RESTORED]) > 20
+    assert [number for number in restarted.ended if number <= RESTORED] == []
 
 
 def test_restored_message_with_the_earliest_deadline_is_attempted_first():
@@ -105,8 +113,8 @@
     lifetimes_s = {1: 9, 2: 4, 3: 6}
     driver.run_tick(
         *(
-            MessageSubmitted(n, 0, 1, driver.now_us + s * SECOND, restored=True)
-            for n, s in lifetimes_s.items()
+            MessageSubmitted(number, 0, 1, driver.now_us + s * SECOND, restored=True)
+            for number, s in lifetimes_s.items()
         )
     )
     driver.end_attempt(2, AttemptResult.OK)
@@ -124,12 +132,15 @@
             endpoint = await fleet.endpoint("a")
             fleet.discovery.targets["a"]["state"] = "terminating"  # no attempt starts before the restart
             client = await fleet.start_process()
-            message_ids = [f"m{n}" for n in range(18)]
-            for n, message_id in enumerate(message_ids):
-                class_name = ("safe", "keyed", "unsafe")[n % 3]
+            message_ids = [f"m{number}" for number in range(18)]
+            for number, message_id in enumerate(message_ids):
+                class_name = ("safe", "keyed", "unsafe")[number % 3]
                 assert (
                     await client.put(
-                        message_id, message_class=class_name, key=f"k{n}" * (n % 3 == 1), lifetime_ms=6000
+                        message_id,
+                        message_class=class_name,
+                        key=f"k{number}" * (number % 3 == 1),
+                        lifetime_ms=6000,
                     )
                     == "+OK"
                 )
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -46,6 +46,7 @@
 
 
 def event_record(fields, *values):
+    """Return a record of 40 bytes; `fields` is the struct format of the values."""
     return struct.pack(">" + fields, *values).ljust(40, b"\0")
 
 
@@ -273,11 +274,12 @@
         and combined.stdout == run_adapter(requests_of((3, 4)), PYTHONHASHSEED="2").stdout
     )
 
-    def reply_bodies(out):
+    def reply_bodies(output):
+        """Return the body of each reply by its sequence number."""
         body_by_sequence = {}
-        while out:
-            seq, _, size = struct.unpack(">III", out[:12])
-            body_by_sequence[seq], out = out[12 : 12 + size], out[12 + size :]
+        while output:
+            seq, _, size = struct.unpack(">III", output[:12])
+            body_by_sequence[seq], output = output[12 : 12 + size], output[12 + size :]
         return body_by_sequence
 
     combined_replies = reply_bodies(combined.stdout)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Scarce call slots: which messages get them, and the lost calls that occupy them for long."""
+"""Scarce call slots: which messages get them, and lost calls, which occupy them until they time out."""
 
 from policy_driver import CLASSES, SECOND, PolicyDriver, actions_of
 
@@ -19,7 +19,7 @@
 def send_calls_with_resets(driver, reused, calls_per_reset):
     """Send calls one after the other, of which one in ``calls_per_reset`` is reset and the others succeed."""
     endpoint = driver.policy.state.endpoints[100]
-    for n in range(2 * calls_per_reset):
+    for call_number in range(2 * calls_per_reset):
         endpoint.idle_connections_since_us = [driver.now_us - SECOND // 10] if reused else []
         (
             endpoint.circuit.open,
@@ -29,7 +29,7 @@
             endpoint.ambiguous_failure_rate,
         ) = False, -1, None, 0.0, 0.0
         driver.submit(message_class=2)
-        succeeded = n % calls_per_reset > 0
+        succeeded = call_number % calls_per_reset > 0
         driver.run_tick(
             AttemptEnded(
                 driver.last_message,
@@ -46,6 +46,7 @@
 
 
 def requires_new_connection(driver):
+    """Return whether a non-idempotent message is sent on a new connection although an idle one exists."""
     driver.policy.state.endpoints[100].idle_connections_since_us = [driver.now_us - SECOND // 10]
     return actions_of(SendAttempt, driver.submit(message_class=2))[0].require_new_connection
 
@@ -68,7 +69,7 @@
 
 
 def send_call(driver, reused, result=AttemptResult.TIMEOUT):
-    """Send one call, on a connection that was idle or on a new one, and return its SendAttempt actions."""
+    """Send one call, on an idle connection or on a new one, and return its SendAttempt actions."""
     endpoint = driver.policy.state.endpoints[100]
     endpoint.idle_connections_since_us = (
         [driver.now_us - (4 * SECOND if result is AttemptResult.TIMEOUT else SECOND // 10)] if reused else []
@@ -97,7 +98,7 @@
     return sent
 
 
-def test_timed_out_calls_on_new_connections_too_do_not_shorten_idle_reuse():
+def test_timeouts_on_reused_and_new_connections_do_not_shorten_idle_reuse():
     driver = PolicyDriver()
     for _ in range(40):
         for reused in (True, False):
@@ -107,7 +108,7 @@
     assert driver.policy.state.statistics.idle_reuse_limit_us == 10 * SECOND
 
 
-def test_timed_out_calls_on_reused_connections_alone_shorten_idle_reuse():
+def test_timeouts_on_reused_connections_only_shorten_idle_reuse():
     driver = PolicyDriver()
     for _ in range(6):
         send_call(driver, True)
@@ -153,7 +154,7 @@
     assert first_sent(1, 10) == first_sent(10, 9) == [50]
 
 
-def test_group_with_a_lost_call_gets_a_slot_again_after_a_while():
+def test_group_with_a_lost_call_gets_the_slot_first_again_after_a_pause():
     def first_endpoint_served(pause_s):
         driver = PolicyDriver(call_slots=1, destination_types=(DestinationType("k"),))
         driver.run_tick(
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -89,8 +89,8 @@
         driver = mid_size_fleet(endpoints=2, call_slots=8)
         # The instance's share of the limit is 4 a second, and no lower limit applies.
         driver.run_tick(LoadReportReceived(100, (0.9, 40.0 * 4)))
-        for n in (100, 101):
-            circuit = driver.policy.state.endpoints[n].circuit
+        for endpoint in (100, 101):
+            circuit = driver.policy.state.endpoints[endpoint].circuit
             (
                 circuit.target_rate_per_s,
                 circuit.slow_start_since_us,
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -30,7 +30,7 @@
 FIXTURES = pathlib.Path(__file__).parent / "fixtures"
 
 
-# The policy takes the recorded actions on the recorded events, and exports the recorded state.
+# In each scenario, the policy returns the recorded actions and exports the recorded states.
 
 IDEMPOTENCY = {
     "safe": model.Idempotency.IDEMPOTENT,
@@ -193,6 +193,7 @@
 
 
 def recorded_frames():
+    """Return the frames that the earlier build sent, each with its length prefix."""
     data, start, frames = (FIXTURES / "hot-restart-e83b7b3.frames").read_bytes(), 0, []
     while start < len(data):
         end = start + LENGTH.size + LENGTH.unpack_from(data, start)[0]
@@ -212,13 +213,14 @@
         self.journal = journal
         self.server = socket.create_server(str(path), family=socket.AF_UNIX)
         self.listener = socket.create_server(("127.0.0.1", 0))
-        pairs = [socket.create_connection(self.listener.getsockname()) for _ in range(2)]
-        self.clients, self.accepted = pairs, [self.listener.accept()[0] for _ in pairs]
+        client_sockets = [socket.create_connection(self.listener.getsockname()) for _ in range(2)]
+        self.clients, self.accepted = client_sockets, [self.listener.accept()[0] for _ in client_sockets]
         for sock in (self.server, *self.clients):
             sock.setblocking(False)
         self.received_frames, self.ownership_taken = [], asyncio.Event()
 
     async def hand_over(self):
+        """Accept the new process, send it the recorded frames, and wait until it owns the journal."""
         loop = asyncio.get_running_loop()
         channel, _ = await loop.sock_accept(self.server)
         self.received_frames.append(unpack(await loop.sock_recv(channel, 1000)))
@@ -293,8 +295,8 @@
             assert exported == json.loads(json.dumps(recorded_state["brain"]))
             assert list(capture(policy).to_wire()) == list(recorded_state["brain"])
             # A client completes the request that it had begun, and the outcomes of the calls are processed.
-            rest = Client.message("half", dest=8)[60:]
-            await loop.sock_sendall(earlier.clients[1], rest)
+            remaining_bytes = Client.message("half", dest=8)[60:]
+            await loop.sock_sendall(earlier.clients[1], remaining_bytes)
             assert await bounded(loop.sock_recv(earlier.clients[1], 100)) == b"+OK\r\n"
             for report in earlier.reports:
                 earlier.channel.send(report)
--- a/tests/test_stored_journal.py
+++ b/tests/test_stored_journal.py
@@ -17,12 +17,14 @@
 
 @pytest.fixture
 def clock(monkeypatch):
+    """Replace the wall clock by a list whose only item is the time in seconds."""
     now = [START_S]
     monkeypatch.setattr(time, "time", lambda: now[0])
     return now
 
 
 def restored(directory, name, limit=1_000_000):
+    """Return a journal that is restored from a copy of the fixture."""
     (directory / "messages.journal").write_bytes((FIXTURES / name).read_bytes())
     return Journal(directory, limit, 9.0).acquire()
 
--- a/tests/test_wide_lists.py
+++ b/tests/test_wide_lists.py
@@ -30,6 +30,9 @@
     return json.dumps({"rev": revision, "all": complete, "targets": entries}).encode() + b"\n"
 
 
+# Each form splits a list into the pieces in which the watch receives it.
+
+
 def one_line(entries):
     return [change_line(5, True, entries)]
 
