--- a/tests/test_admin_console.py
+++ b/tests/test_admin_console.py
@@ -93,7 +93,7 @@
 
 
 def with_console(test):
-    """Run a test with a new console and a function that connects to it."""
+    """Decorate a coroutine so that pytest runs it with a console and a function that connects to it."""
 
     def run(monkeypatch):
         async def inner():
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -42,7 +42,7 @@
 
 
 async def open_idle(fleet):
-    """Open a client with an answered request and none open; return it and the server's connection to it."""
+    """Connect a client and wait for the reply to a PING; return it and the server's connection to it."""
     sender = BlockingClient(fleet.relay_port()).send(PING)
     assert await sender.line() == "+PONG"
     return sender, list(fleet.relay.clients.connections)[-1]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -63,7 +63,7 @@
 
 
 def test_the_requests_of_a_fleet_to_an_overloaded_discovery_are_bounded():
-    # Each instance sends one or two requests in 6 s, in a fleet of any size.
+    # From 40 instances on, each sends one or two requests in 6 s.
     small, medium, large = (requests_per_second(n) for n in (5, 40, 400))
     assert 40 / MAX_CHANGE_DELAY_S <= medium <= 2 * 40 / MAX_CHANGE_DELAY_S
     assert 400 / MAX_CHANGE_DELAY_S <= large <= 2 * 400 / MAX_CHANGE_DELAY_S
@@ -169,38 +169,38 @@
 
 
 @pytest.mark.parametrize("instance_count", [1, 20, 40, 230, 1100])
-@pytest.mark.parametrize("last", FAILURES)
+@pytest.mark.parametrize("last_failure", FAILURES)
 def test_a_change_arrives_within_6_s_of_discovery_becoming_reachable_after_failures(
-    monkeypatch, instance_count, last
+    monkeypatch, instance_count, last_failure
 ):
     # Discovery becomes reachable just after the last failed request began and answers the next one at once.
-    for seed, before in enumerate(itertools.product(FAILURES, repeat=2)):
+    for seed, earlier_failures in enumerate(itertools.product(FAILURES, repeat=2)):
         loop, watch, _ = run_until_change(
-            monkeypatch, instance_count, [*before, *["rejected"] * (seed % 4), last], seed
+            monkeypatch, instance_count, [*earlier_failures, *["rejected"] * (seed % 4), last_failure], seed
         )
         assert loop.now - ScriptedConnection.opened_at[-2] < MAX_CHANGE_DELAY_S and watch.revision == 9
 
 
 @pytest.mark.parametrize("instance_count", [1, 20, 40, 230, 1100])
-@pytest.mark.parametrize("failed", FAILURES)
+@pytest.mark.parametrize("failure", FAILURES)
 def test_a_change_missed_by_a_silent_watch_arrives_within_6_s_if_the_next_request_fails(
-    monkeypatch, instance_count, failed
+    monkeypatch, instance_count, failure
 ):
     for seed in range(50):
         loop, watch, changes = run_until_change(monkeypatch, instance_count, [], seed)
         silent_since = loop.now
-        ScriptedConnection.script = [failed, "valid change"]
+        ScriptedConnection.script = [failure, "valid change"]
         while len(changes) < 2:
             loop.step()
         assert loop.now - silent_since < MAX_CHANGE_DELAY_S
 
 
 @pytest.mark.parametrize("instance_count", [1, 40, 230])
-@pytest.mark.parametrize("failed", FAILURES)
-def test_after_sighup_a_change_arrives_within_4_s_if_one_request_fails(monkeypatch, instance_count, failed):
+@pytest.mark.parametrize("failure", FAILURES)
+def test_after_sighup_a_change_arrives_within_4_s_if_one_request_fails(monkeypatch, instance_count, failure):
     for seed in range(50):
         loop, _, _ = run_until_change(
-            monkeypatch, instance_count, [failed], seed, start_s=50.0, address_changed=True
+            monkeypatch, instance_count, [failure], seed, start_s=50.0, address_changed=True
         )
         assert loop.now - 50.0 < 4.0
 
--- a/tests/test_endpoint_calls.py
+++ b/tests/test_endpoint_calls.py
@@ -137,7 +137,8 @@
 
 
 def test_a_request_lost_before_its_last_byte_was_not_executed():
-    # asyncio's transports report a request as written when it is in their buffer.
+    # A request counts as written once the kernel has accepted its last byte. asyncio's transports would
+    # report it as written as soon as it is in their buffer.
     async def run():
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
--- a/tests/test_key_window.py
+++ b/tests/test_key_window.py
@@ -1,4 +1,4 @@
-"""Retries of keyed messages with a key window of one second, across restarts: never after the window."""
+"""Keyed messages with a key window of one second are retried after a restart, but not after the window."""
 
 import asyncio
 import time
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -74,8 +74,8 @@
     )
 
 
-def test_advertised_rate_limits_a_large_fleet_only_after_a_rejection():
-    driver = large_fleet(rate=10.0)  # a share of 0.1 a second
+def test_advertised_rate_applies_in_a_large_fleet_only_after_a_rejection():
+    driver = large_fleet(rate=10.0)  # the share of this instance is 0.1 calls a second
     for _ in range(5):
         assert actions_of(SendAttempt, driver.submit(after_us=100_000))
         driver.end_attempt(driver.last_message, AttemptResult.OK)
@@ -226,7 +226,7 @@
 
 
 def test_message_that_cannot_be_sent_in_time_is_rejected_at_once():
-    driver = large_fleet(rate=5.0)  # a share of 0.05 a second: up to 20 s until the next call
+    driver = large_fleet(rate=5.0)  # the share of this instance is one call in 20 s
     driver.submit()
     driver.end_attempt(driver.last_message, AttemptResult.REJECTED)
     rejected = sum(
--- a/tests/test_malformed_responses.py
+++ b/tests/test_malformed_responses.py
@@ -1,4 +1,4 @@
-"""Responses that are malformed, incomplete or followed by further bytes, which leave the outcome ambiguous.
+"""After a malformed or incomplete response, the messages of the call may or may not have been applied.
 
 A 200 is the exception: its complete status line proves that a single message was applied.
 """
@@ -66,8 +66,8 @@
 
 @pytest.mark.parametrize("name", MALFORMED)
 def test_a_malformed_response_leaves_the_outcome_ambiguous(name):
-    # Headers of a 503, 410 or 504 without a complete response prove nothing: if they were trusted, messages
-    # that had been applied would be sent again.
+    # The headers of a 503, 410 or 504 without the complete response do not prove that the message was not
+    # applied. If they counted as a proof, a message that had been applied would be sent again.
     async def run():
         endpoint = await Endpoint(MALFORMED[name]).start()
         observer = RecordingObserver()
--- a/tests/test_mid_size_fleet.py
+++ b/tests/test_mid_size_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of some tens of instances: circuits, choice of endpoints, and calls after a common start."""
+"""Fleets of tens of instances: circuits, choice of endpoints, and the first calls after a joint start."""
 
 from policy_driver import CLASSES, SECOND, actions_of, endpoint_entry, mid_size_fleet
 
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -187,7 +187,7 @@
 
 @with_fleet
 async def test_a_full_disk_rejects_messages(fleet):
-    # The old and the new journal file together must stay under the disk limit: exceeding it is a crash.
+    # The old and the new journal file together must stay under the disk limit, as exceeding it is a crash.
     fleet.limits["disk_mb"] = 0.1
     client = await fleet.start_relay()
     answers = [await client.put(f"m{n}", body=b"x" * 9000) for n in range(10)]
--- a/tests/test_restored_messages.py
+++ b/tests/test_restored_messages.py
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize("instance_count", [SMALL, LARGE])
 def test_new_messages_are_rejected_before_restored_ones(instance_count):
-    # No further message can be sent, as the only endpoint does not answer.
+    # No further message can be sent: the only endpoint does not respond, so calls to it stay in flight.
     restarted = RestartedPolicy(instance_count, 0, 9 * SECOND, 99 * SECOND)
     restarted.run(5, new_messages=3)
     assert len([number for number in restarted.ended if number > RESTORED]) > 20
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -207,7 +207,7 @@
 
 
 class EarlierProcess:
-    """Sends the recorded frames to the process that requests a handover, with sockets opened here."""
+    """Stand-in for a process of the earlier build: sends the recorded frames, with sockets opened here."""
 
     def __init__(self, path, journal):
         self.journal = journal
