--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -28,6 +28,7 @@
         return self
 
     async def line(self):
+        """Return the line that the relay sends, or "" if it closes the connection instead."""
         self.sock.setblocking(False)
         received = b""
         with contextlib.suppress(ConnectionResetError):
@@ -41,7 +42,7 @@
 
 
 async def open_idle(fleet):
-    """Open a client with an answered request and none open; return it and the server's connection to it."""
+    """Connect a client and wait for the reply to a PING; return it and the server's connection to it."""
     sender = BlockingClient(fleet.relay_port()).send(PING)
     assert await sender.line() == "+PONG"
     return sender, list(fleet.relay.clients.connections)[-1]
--- a/tests/test_endpoint_calls.py
+++ b/tests/test_endpoint_calls.py
@@ -51,6 +51,7 @@
         self.health.put_nowait(result)
 
     async def send(self, port, *message_ids, timeout_us=5_000_000, body=b"x"):
+        """Send the messages in one call; return the id and the outcome of each."""
         self.client.set_address(1, ("127.0.0.1", port))
         attempts = [
             CallAttempt(number, 0, message_id, "k" + message_id, body, timeout_us)
@@ -97,7 +98,7 @@
         assert body == b"x"
         assert 1 <= int(headers["x-timeout-ms"]) <= 5000
         if step == "hang":  # a timed-out call closes its connection, which frees the slot of the endpoint
-            await bounded(endpoint.ended.get())
+            await bounded(endpoint.closed_connections.get())
         assert observer.waits_us == ([250_000] if outcome.retry_after_us else [])
         observer.client.close()
         await endpoint.stop()
@@ -136,7 +137,8 @@
 
 
 def test_a_request_lost_before_its_last_byte_was_not_executed():
-    # asyncio's transports report a request as written when it is in their buffer.
+    # A request counts as written once the kernel has accepted its last byte. asyncio's transports would
+    # report it as written as soon as it is in their buffer.
     async def run():
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -177,7 +179,7 @@
             await observer.send(endpoint.port, message_id)
         assert endpoint.accepted == 1
         endpoint.drop()  # closes the idle connection: a request written to it would be reset
-        await bounded(endpoint.ended.get())
+        await bounded(endpoint.closed_connections.get())
         assert (await observer.send(endpoint.port, "d"))[0][1].result is AttemptResult.OK
         assert endpoint.accepted == 2
         observer.client.close()
@@ -191,7 +193,7 @@
         endpoint = await Endpoint().start()
         observer = RecordingObserver(connection_idle_timeout_us=100_000)
         await observer.send(endpoint.port, "a")
-        await bounded(endpoint.ended.get())  # closed by the client
+        await bounded(endpoint.closed_connections.get())  # closed by the client
         assert not observer.client.pools[1].idle
         await endpoint.stop()
 
@@ -267,24 +269,24 @@
     # The endpoint closes the connection just before the next call, which would be reset on it.
     async def run():
         listener = socket.create_server(("127.0.0.1", 0))
-        end, ended = threading.Event(), threading.Event()
+        close_requested, closed = threading.Event(), threading.Event()
 
         def serve():
             for _ in range(2):
                 peer, _ = listener.accept()
                 peer.recv(65536)
                 peer.sendall(answer(200))
-                end.wait(10)
+                close_requested.wait(10)
                 peer.close()
-                ended.set()
+                closed.set()
 
         thread = threading.Thread(target=serve)
         thread.start()
         observer = RecordingObserver()
         port = listener.getsockname()[1]
         await observer.send(port, "a")
-        end.set()
-        ended.wait(10)  # blocks the event loop, which cannot process the close
+        close_requested.set()
+        closed.wait(10)  # blocks the event loop, which cannot process the close
         assert (await observer.send(port, "b"))[0][1].result is AttemptResult.OK
         assert observer.client.calls_on_new_connections == 2
         observer.client.close()
--- a/tests/test_malformed_responses.py
+++ b/tests/test_malformed_responses.py
@@ -1,4 +1,4 @@
-"""Responses that are malformed, incomplete or followed by further bytes, which leave the outcome ambiguous.
+"""After a malformed or incomplete response, the messages of the call may or may not have been applied.
 
 A 200 is the exception: its complete status line proves that a single message was applied.
 """
@@ -66,13 +66,13 @@
 
 @pytest.mark.parametrize("name", MALFORMED)
 def test_a_malformed_response_leaves_the_outcome_ambiguous(name):
-    # Headers of a 503, 410 or 504 without a complete response prove nothing: if they were trusted, messages
-    # that had been applied would be sent again.
+    # The headers of a 503, 410 or 504 without the complete response do not prove that the message was not
+    # applied. If they counted as a proof, a message that had been applied would be sent again.
     async def run():
         endpoint = await Endpoint(MALFORMED[name]).start()
         observer = RecordingObserver()
         assert await observer.send(endpoint.port, "a") == [("a", MAY_HAVE_BEEN_APPLIED)]
-        await bounded(endpoint.ended.get())  # the connection is closed, not reused
+        await bounded(endpoint.closed_connections.get())  # the connection is closed, not reused
         assert not observer.client.in_flight and not observer.client.pools[1].idle
         await endpoint.stop()
 
@@ -164,13 +164,13 @@
     # the endpoint's non-idempotent messages by seconds, and a few in a row would put it into slow start.
     endpoint = await fleet.endpoint("a", *([answer(200)] * 3 + [MALFORMED["arbitrary bytes"]] * 2))
     client = await fleet.start_relay()
-    for n in range(3):
-        await client.put(f"m{n}")
+    for number in range(3):
+        await client.put(f"m{number}")
         await endpoint.call()
-    for n in range(2):
-        await client.put(f"s{n}", kind="unsafe")
+    for number in range(2):
+        await client.put(f"s{number}", message_class="unsafe")
         await endpoint.call()
         assert (await fleet.discovery.final())["status"] == "undeliverable"
     started_at = time.monotonic()
-    await client.put("u", kind="unsafe")
+    await client.put("u", message_class="unsafe")
     assert (await endpoint.call())[1]["x-request-id"] == "u" and time.monotonic() - started_at < 0.2
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Scarce call slots: which messages get them, and the lost calls that occupy them for long."""
+"""Scarce call slots: which messages get them, and lost calls, which occupy them until they time out."""
 
 from policy_driver import CLASSES, SECOND, PolicyDriver, actions_of
 
@@ -19,8 +19,8 @@
 def send_calls_with_resets(driver, reused, calls_per_reset):
     """Send calls one after the other, of which one in ``calls_per_reset`` is reset and the others succeed."""
     endpoint = driver.policy.state.endpoints[100]
-    for n in range(2 * calls_per_reset):
-        endpoint.idle_connections_since_us = [driver.now - SECOND // 10] if reused else []
+    for call_number in range(2 * calls_per_reset):
+        endpoint.idle_connections_since_us = [driver.now_us - SECOND // 10] if reused else []
         (
             endpoint.circuit.open,
             endpoint.circuit.slow_start_since_us,
@@ -29,7 +29,7 @@
             endpoint.ambiguous_failure_rate,
         ) = False, -1, None, 0.0, 0.0
         driver.submit(message_class=2)
-        succeeded = n % calls_per_reset > 0
+        succeeded = call_number % calls_per_reset > 0
         driver.run_tick(
             AttemptEnded(
                 driver.last_message,
@@ -40,13 +40,14 @@
                 succeeded,
                 new_connection=not reused,
             ),
-            after=100_000,
+            after_us=100_000,
         )
         driver.advance(1)
 
 
 def requires_new_connection(driver):
-    driver.policy.state.endpoints[100].idle_connections_since_us = [driver.now - SECOND // 10]
+    """Return whether a non-idempotent message is sent on a new connection although an idle one exists."""
+    driver.policy.state.endpoints[100].idle_connections_since_us = [driver.now_us - SECOND // 10]
     return actions_of(SendAttempt, driver.submit(message_class=2))[0].require_new_connection
 
 
@@ -68,10 +69,10 @@
 
 
 def send_call(driver, reused, result=AttemptResult.TIMEOUT):
-    """Send one call, on a connection that was idle or on a new one, and return its SendAttempt actions."""
+    """Send one call, on an idle connection or on a new one, and return its SendAttempt actions."""
     endpoint = driver.policy.state.endpoints[100]
     endpoint.idle_connections_since_us = (
-        [driver.now - (4 * SECOND if result is AttemptResult.TIMEOUT else SECOND // 10)] if reused else []
+        [driver.now_us - (4 * SECOND if result is AttemptResult.TIMEOUT else SECOND // 10)] if reused else []
     )
     (
         endpoint.circuit.open,
@@ -91,13 +92,13 @@
             result is AttemptResult.OK,
             new_connection=not reused,
         ),
-        after=100_000,
+        after_us=100_000,
     )
     driver.advance(1)
     return sent
 
 
-def test_timed_out_calls_on_new_connections_too_do_not_shorten_idle_reuse():
+def test_timeouts_on_reused_and_new_connections_do_not_shorten_idle_reuse():
     driver = PolicyDriver()
     for _ in range(40):
         for reused in (True, False):
@@ -107,7 +108,7 @@
     assert driver.policy.state.statistics.idle_reuse_limit_us == 10 * SECOND
 
 
-def test_timed_out_calls_on_reused_connections_alone_shorten_idle_reuse():
+def test_timeouts_on_reused_connections_only_shorten_idle_reuse():
     driver = PolicyDriver()
     for _ in range(6):
         send_call(driver, True)
@@ -138,10 +139,10 @@
     )
     driver.submit(destination=3)
     driver.run_tick(
-        MessageSubmitted(50, 3, 2, driver.now + 10 * SECOND),
-        *(MessageSubmitted(60 + n, 0, 1, driver.now + 10 * SECOND) for n in range(message_count)),
+        MessageSubmitted(50, 3, 2, driver.now_us + 10 * SECOND),
+        *(MessageSubmitted(60 + n, 0, 1, driver.now_us + 10 * SECOND) for n in range(message_count)),
     )
-    actions = driver.run_tick(AttemptEnded(1, 0, 300, AttemptResult.OK, 100_000, True), after=100_000)
+    actions = driver.run_tick(AttemptEnded(1, 0, 300, AttemptResult.OK, 100_000, True), after_us=100_000)
     return [action.message for action in actions_of(SendAttempt, actions)]
 
 
@@ -153,7 +154,7 @@
     assert first_sent(1, 10) == first_sent(10, 9) == [50]
 
 
-def test_group_with_a_lost_call_gets_a_slot_again_after_a_while():
+def test_group_with_a_lost_call_gets_the_slot_first_again_after_a_pause():
     def first_endpoint_served(pause_s):
         driver = PolicyDriver(call_slots=1, destination_types=(DestinationType("k"),))
         driver.run_tick(
@@ -167,9 +168,9 @@
             driver.end_attempt(driver.last_message, AttemptResult.OK, endpoint=100 * destination)
         driver.submit(message_class=2, destination=2)
         # One lost call among successful ones.
-        driver.end_attempt(driver.last_message, AttemptResult.TIMEOUT, latency=4 * SECOND, endpoint=200)
+        driver.end_attempt(driver.last_message, AttemptResult.TIMEOUT, latency_us=4 * SECOND, endpoint=200)
         occupying_message = driver.last_message + 1
-        driver.submit(destination=3, after=int(pause_s * SECOND))
+        driver.submit(destination=3, after_us=int(pause_s * SECOND))
         for destination in (2, 1):
             driver.submit(destination=destination)
         return actions_of(SendAttempt, driver.end_attempt(occupying_message, AttemptResult.OK, endpoint=300))[
--- a/tests/test_wide_lists.py
+++ b/tests/test_wide_lists.py
@@ -30,6 +30,9 @@
     return json.dumps({"rev": revision, "all": complete, "targets": entries}).encode() + b"\n"
 
 
+# Each form splits a list into the pieces in which the watch receives it.
+
+
 def one_line(entries):
     return [change_line(5, True, entries)]
 
@@ -47,7 +50,7 @@
 def test_one_instance_of_1100_applies_a_list_of_1100_endpoints(tmp_path, form):
     async def run():
         async with Fleet(tmp_path, settings()) as fleet:
-            fleet.raw["groupSize"] = ENDPOINT_COUNT
+            fleet.raw_settings["groupSize"] = ENDPOINT_COUNT
             await fleet.endpoint("a")
             await fleet.start_relay()
             relay = fleet.relay
