--- a/message_relay/server/attempt_runner.py
+++ b/message_relay/server/attempt_runner.py
@@ -223,11 +223,11 @@
         for number in numbers:
             self._journal.record_not_applied(number)
 
-    def retry_after_received(self, endpoint: int, wait_us: int) -> None:
+    def retry_after_received(self, endpoint: int, retry_after_us: int) -> None:
         """Record a Retry-After as soon as it is received, before the outcome of its attempt."""
         entry = self.directory.entries.get(endpoint)
         if entry is not None:  # for a removed endpoint, the policy alone honors it, for the destination
-            self._retry_after.record(entry, wait_us)
+            self._retry_after.record(entry, retry_after_us)
 
     def load_report_received(self, endpoint: int, values: dict[str, float]) -> None:
         """Report a load report to the policy if it has every configured field."""
--- a/message_relay/server/endpoint_calls/attempt.py
+++ b/message_relay/server/endpoint_calls/attempt.py
@@ -62,7 +62,7 @@
         """Process the outcome of an attempt; called once per attempt, with the latency of the call."""
         ...
 
-    def retry_after_received(self, endpoint: int, wait_us: int) -> None:
+    def retry_after_received(self, endpoint: int, retry_after_us: int) -> None:
         """Process a Retry-After; called when the headers have arrived, before the outcome is known."""
         ...
 
--- a/message_relay/server/endpoint_calls/call.py
+++ b/message_relay/server/endpoint_calls/call.py
@@ -112,8 +112,8 @@
         """Report Retry-After and the load report to the observer before the body arrives."""
         self.status = status
         self.headers = headers
-        if wait_us := parse_retry_after_us(headers):
-            self._owner.observer.retry_after_received(self.endpoint, wait_us)
+        if retry_after_us := parse_retry_after_us(headers):
+            self._owner.observer.retry_after_received(self.endpoint, retry_after_us)
         if load_report := parse_load_report(headers):
             self._owner.observer.load_report_received(self.endpoint, load_report)
 
@@ -214,5 +214,5 @@
             self.end_attempt(attempt, outcomes.get(attempt.message_id, default_outcome))
 
     def _malformed_outcome(self) -> AttemptOutcome:
-        wait_us = parse_retry_after_us(self.headers)
-        return AttemptOutcome(AttemptResult.ERROR, retry_after_us=wait_us, malformed=True)
+        retry_after_us = parse_retry_after_us(self.headers)
+        return AttemptOutcome(AttemptResult.ERROR, retry_after_us=retry_after_us, malformed=True)
--- a/message_relay/server/endpoint_calls/responses.py
+++ b/message_relay/server/endpoint_calls/responses.py
@@ -32,19 +32,19 @@
 
 def outcome_of_status(status: int, headers: dict[str, str]) -> AttemptOutcome:
     """Return the outcome that a complete, well-formed response to a single message states."""
-    wait_us = parse_retry_after_us(headers)
+    retry_after_us = parse_retry_after_us(headers)
     if status == STATUS_OK:
-        return AttemptOutcome(AttemptResult.OK, message_ended=True, retry_after_us=wait_us)
+        return AttemptOutcome(AttemptResult.OK, message_ended=True, retry_after_us=retry_after_us)
     if status in OVERLOAD_STATUSES:
         no_slot = headers.get(NO_SLOT_HEADER) == "1"
         result = AttemptResult.NOT_ATTEMPTED if no_slot else AttemptResult.REJECTED
-        return AttemptOutcome(result, retry_after_us=wait_us)
+        return AttemptOutcome(result, retry_after_us=retry_after_us)
     if status == STATUS_MESSAGE_ENDED:
-        return AttemptOutcome(AttemptResult.NOT_ATTEMPTED, message_ended=True, retry_after_us=wait_us)
+        return AttemptOutcome(AttemptResult.NOT_ATTEMPTED, message_ended=True, retry_after_us=retry_after_us)
     if status in NOT_EXECUTED_STATUSES:
-        return AttemptOutcome(AttemptResult.NOT_ATTEMPTED, retry_after_us=wait_us)
+        return AttemptOutcome(AttemptResult.NOT_ATTEMPTED, retry_after_us=retry_after_us)
     # 500, or a status that the protocol does not define: the message may have been applied.
-    return AttemptOutcome(AttemptResult.ERROR, retry_after_us=wait_us)
+    return AttemptOutcome(AttemptResult.ERROR, retry_after_us=retry_after_us)
 
 
 def parse_retry_after_us(headers: dict[str, str]) -> int:
@@ -67,12 +67,12 @@
     return values if all(math.isfinite(value) for value in values.values()) else {}
 
 
-def parse_batch_outcomes(body: bytes, wait_us: int) -> dict[str, AttemptOutcome]:
+def parse_batch_outcomes(body: bytes, retry_after_us: int) -> dict[str, AttemptOutcome]:
     """Return the outcome of each message in a batch's response, by message id.
 
     The result is empty if the body is malformed, has an unknown state or contains a message twice. A message
-    without an outcome in it may have been applied. wait_us: Retry-After of the response, in microseconds; it
-    is part of each outcome.
+    without an outcome in it may have been applied. retry_after_us: Retry-After of the response, which is part
+    of each outcome.
     """
     try:
         rows = json.loads(body)
@@ -83,6 +83,6 @@
     except (ValueError, KeyError, TypeError, RecursionError):
         return {}
     return {
-        message_id: AttemptOutcome(result, message_id in ended_ids, wait_us)
+        message_id: AttemptOutcome(result, message_id in ended_ids, retry_after_us)
         for message_id, result in results.items()
     }
--- a/message_relay/server/hot_restart/frames.py
+++ b/message_relay/server/hot_restart/frames.py
@@ -129,11 +129,11 @@
     """An endpoint sent a Retry-After to the old process, which uses this endpoint number."""
 
     endpoint: int
-    wait_us: int
+    retry_after_us: int
 
     def encode(self) -> list[Any]:
         """Return the values to send, with the frame name first."""
-        return ["wait", self.endpoint, self.wait_us]
+        return ["wait", self.endpoint, self.retry_after_us]
 
 
 class LoadReport(NamedTuple):
--- a/message_relay/server/hot_restart/state_transfer.py
+++ b/message_relay/server/hot_restart/state_transfer.py
@@ -100,10 +100,10 @@
             )
         )
 
-    def retry_after_received(self, endpoint: int, wait_us: int) -> None:
+    def retry_after_received(self, endpoint: int, retry_after_us: int) -> None:
         """Report a Retry-After to the new process."""
-        self.deferred_actions.append(lambda: self._attempts.retry_after_received(endpoint, wait_us))
-        self._report(RetryAfterReport(endpoint, wait_us))
+        self.deferred_actions.append(lambda: self._attempts.retry_after_received(endpoint, retry_after_us))
+        self._report(RetryAfterReport(endpoint, retry_after_us))
 
     def load_report_received(self, endpoint: int, values: dict[str, float]) -> None:
         """Pass a load report on to the new process."""
@@ -261,7 +261,7 @@
             return
         endpoint = self._endpoint_numbers.get(report.endpoint, UNKNOWN_ENDPOINT)
         if isinstance(report, RetryAfterReport):
-            attempts.retry_after_received(endpoint, report.wait_us)
+            attempts.retry_after_received(endpoint, report.retry_after_us)
         else:
             attempts.load_report_received(endpoint, report.values)
 
--- a/message_relay/server/retry_after.py
+++ b/message_relay/server/retry_after.py
@@ -27,10 +27,10 @@
     def __len__(self) -> int:
         return len(self._until_us)
 
-    def record(self, entry: EndpointEntry, wait_us: int) -> None:
+    def record(self, entry: EndpointEntry, retry_after_us: int) -> None:
         """Record a Retry-After that the endpoint sent; of two waits of one scope, the later end applies."""
         scope = self._scope(entry)
-        until_us = clock.monotonic_us() + wait_us
+        until_us = clock.monotonic_us() + retry_after_us
         self._until_us[scope] = max(self._until_us.get(scope, 0), until_us)
 
     def has_expired(self, entry: EndpointEntry) -> bool:
--- a/tests/test_endpoint_calls.py
+++ b/tests/test_endpoint_calls.py
@@ -17,7 +17,7 @@
     """Observer that owns a client, permits each call unless `allowed` is False, and records the reports."""
 
     def __init__(self, **changes):
-        self.ended, self.waits_us, self.health, self.started = asyncio.Queue(), [], asyncio.Queue(), []
+        self.ended, self.retry_afters_us, self.health, self.started = asyncio.Queue(), [], asyncio.Queue(), []
         self.load_reports, self.written = [], []
         self.allowed = True
         options = {
@@ -41,8 +41,8 @@
     def attempt_ended(self, attempt, endpoint, outcome, latency_us):
         self.ended.put_nowait((attempt.message_id, outcome))
 
-    def retry_after_received(self, endpoint, wait_us):
-        self.waits_us.append(wait_us)
+    def retry_after_received(self, endpoint, retry_after_us):
+        self.retry_afters_us.append(retry_after_us)
 
     def load_report_received(self, endpoint, values):
         self.load_reports.append(values)
@@ -99,7 +99,7 @@
         assert 1 <= int(headers["x-timeout-ms"]) <= 5000
         if step == "hang":  # a timed-out call closes its connection, which frees the slot of the endpoint
             await bounded(endpoint.closed_connections.get())
-        assert observer.waits_us == ([250_000] if outcome.retry_after_us else [])
+        assert observer.retry_afters_us == ([250_000] if outcome.retry_after_us else [])
         observer.client.close()
         await endpoint.stop()
 
@@ -230,7 +230,7 @@
         assert {outcome.result for _, outcome in await observer.send(endpoint.port, *"jk")} == {
             AttemptResult.RESET
         }
-        assert observer.waits_us == [500_000, 1_000_000]
+        assert observer.retry_afters_us == [500_000, 1_000_000]
         await endpoint.stop()
 
     asyncio.run(run())
