--- a/message_relay/server/journal/index.py
+++ b/message_relay/server/journal/index.py
@@ -19,7 +19,7 @@
     MessagesCompleted,
 )
 
-FINISHED_ID_GRACE_S = 2.0  # time for which the id of a completed message is stored after its deadline
+COMPLETED_ID_GRACE_S = 2.0  # time for which the id of a completed message is stored after its deadline
 KEY_GRACE_S = 2.0  # time for which an idempotency key is stored after its window
 STORED_BYTES_PER_CORDON = 8  # upper bound in a compacted file, without the uid itself
 STORED_BYTES_BASE = 512  # size of an empty compacted file, rounded up to a block
@@ -40,7 +40,7 @@
         self.open_bytes = 0  # upper bound of the size of all `messages` in a compacted file
         self.last_number = 0  # highest message number that was ever accepted
         self.cordoned: dict[str, None] = {}  # uids, the oldest cordon first
-        self.finished_ids = ExpiringIndex()
+        self.completed_ids = ExpiringIndex()
         self.idempotency_keys = ExpiringIndex()  # start and zone of the key's first possibly applied attempt
         self._key_lifetime_s = key_window_s + KEY_GRACE_S
 
@@ -48,7 +48,7 @@
     def live_bytes(self) -> int:
         """Upper bound of the size of a compacted file in bytes."""
         cordon_bytes = sum(len(uid) + STORED_BYTES_PER_CORDON for uid in self.cordoned)
-        identifier_bytes = self.finished_ids.stored_bytes + self.idempotency_keys.stored_bytes
+        identifier_bytes = self.completed_ids.stored_bytes + self.idempotency_keys.stored_bytes
         return self.open_bytes + identifier_bytes + cordon_bytes + STORED_BYTES_BASE
 
     def key_applied_at_s(self, key: str) -> float:
@@ -60,8 +60,8 @@
         return at_s if time.time() - at_s < self._key_lifetime_s else 0.0
 
     def expire(self, now_s: float) -> None:
-        """Remove the finished ids and the idempotency keys that have expired."""
-        self.finished_ids.expire(now_s)
+        """Remove the ids of completed messages and the idempotency keys that have expired."""
+        self.completed_ids.expire(now_s)
         self.idempotency_keys.expire(now_s)
 
     def apply(self, record: JournalRecord) -> None:
@@ -99,14 +99,14 @@
 
     def compacted_records(self) -> Iterator[JournalRecord]:
         """Yield the records of a compacted file in their order: summary, cordons, messages."""
-        finished_ids = {
-            identifier: entry.expires_at_s for identifier, entry in self.finished_ids.entries.items()
+        completed_ids = {
+            identifier: entry.expires_at_s for identifier, entry in self.completed_ids.entries.items()
         }
         keys = {
             identifier: (entry.at_s, entry.zone)
             for identifier, entry in self.idempotency_keys.entries.items()
         }
-        yield JournalSummary(self.last_number, finished_ids, keys)
+        yield JournalSummary(self.last_number, completed_ids, keys)
         for uid in self.cordoned:
             yield EndpointCordonChanged(uid, True)
         for message in self.messages.values():
@@ -155,7 +155,7 @@
             self.numbers_by_id.pop(message.id, None)
             self._remove_from_open(message)
             self.open_bytes -= message.stored_bytes
-            self.finished_ids.add(message.id, record.at_s, message.deadline_s + FINISHED_ID_GRACE_S)
+            self.completed_ids.add(message.id, record.at_s, message.deadline_s + COMPLETED_ID_GRACE_S)
 
     def _remove_from_open(self, message: AcceptedMessage) -> None:
         """Remove the message from the open messages; must be called before its final status is set."""
@@ -174,8 +174,8 @@
 
     def _restore_summary(self, record: JournalSummary) -> None:
         self.last_number = record.last_number
-        for message_id, expires_at_s in record.finished_ids.items():
-            self.finished_ids.add(message_id, expires_at_s, expires_at_s)
+        for message_id, expires_at_s in record.completed_ids.items():
+            self.completed_ids.add(message_id, expires_at_s, expires_at_s)
         for key, (at_s, zone) in record.idempotency_keys.items():
             self._add_key(key, at_s, zone)
 
--- a/message_relay/server/journal/journal.py
+++ b/message_relay/server/journal/journal.py
@@ -91,9 +91,9 @@
         return self._index.cordoned
 
     @property
-    def finished_ids(self) -> ExpiringIndex:
+    def completed_ids(self) -> ExpiringIndex:
         """Ids of completed messages, stored for as long as clients may submit them again."""
-        return self._index.finished_ids
+        return self._index.completed_ids
 
     @property
     def idempotency_keys(self) -> ExpiringIndex:
--- a/message_relay/server/journal/records.py
+++ b/message_relay/server/journal/records.py
@@ -233,12 +233,12 @@
     """Highest message number, ids of completed messages and idempotency keys; first in a compacted file."""
 
     last_number: int
-    finished_ids: dict[str, float]  # expiry of each id in wall clock seconds
+    completed_ids: dict[str, float]  # expiry of each id in wall clock seconds
     idempotency_keys: dict[str, tuple[float, int]]  # start and zone of the first possibly applied attempt
 
     def to_stored(self) -> StoredValues:
         """Return the record's stored form."""
-        return [SUMMARY, self.last_number, self.finished_ids, self.idempotency_keys]
+        return [SUMMARY, self.last_number, self.completed_ids, self.idempotency_keys]
 
     @classmethod
     def from_stored(cls, values: StoredValues) -> JournalSummary:
--- a/message_relay/server/submission.py
+++ b/message_relay/server/submission.py
@@ -122,7 +122,7 @@
 
     def _is_duplicate(self, message_id: str) -> bool:
         """Return whether a message with this id was accepted before."""
-        return message_id in self._journal.numbers_by_id or message_id in self._journal.finished_ids
+        return message_id in self._journal.numbers_by_id or message_id in self._journal.completed_ids
 
     def _validate(self, request: SubmitRequest) -> tuple[int, int]:
         """Return the numbers of the message's class and tenant. Raises InvalidRequestError."""
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -22,7 +22,7 @@
     assert (await endpoint.call())[0] == "/events/bundle"
     finals = [await fleet.discovery.final() for _ in range(2)]
     assert {final["id"]: final["status"] for final in finals} == {"b2": "undeliverable", "b3": "deferred"}
-    assert "b1" in fleet.relay.journal.finished_ids
+    assert "b1" in fleet.relay.journal.completed_ids
 
 
 @with_fleet
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -54,7 +54,7 @@
         client = await Client().open(fleet.relay_port())
         assert (await client.send(request)).startswith("-ERR"), name
         assert await client.send(command(b"PING")) == "+PONG", name
-    assert not fleet.relay.journal.messages and not fleet.relay.journal.finished_ids
+    assert not fleet.relay.journal.messages and not fleet.relay.journal.completed_ids
 
 
 @with_fleet
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -31,7 +31,7 @@
         journal.record_attempt([number], 1.0)
         journal.record_not_applied(number)
         journal.record_completed([number])
-        journal.finished_ids.expire(time.time() + 60)
+        journal.completed_ids.expire(time.time() + 60)
         assert sum(-(-f.stat().st_size // 512) * 512 for f in tmp_path.iterdir()) <= limit
     journal.close()
     restored = Journal(tmp_path, limit).acquire()
@@ -77,14 +77,14 @@
         journal.record_attempt([number], now[0])
         journal.record_completed([number])
     assert (
-        14 * 300 <= len(journal.finished_ids) <= 16 * 300
+        14 * 300 <= len(journal.completed_ids) <= 16 * 300
         and 14 * 300 <= len(journal.idempotency_keys) <= 16 * 300
     )
     assert len(compactions) < 60
-    assert f"{12000:016x}" in journal.finished_ids and journal.key_applied_at_s(f"{12000:016x}") == now[0]
+    assert f"{12000:016x}" in journal.completed_ids and journal.key_applied_at_s(f"{12000:016x}") == now[0]
     now[0] += 30
     journal.accept(AcceptedMessage(12001, "last", 1, 0, 7, "", now[0] + 12, False, b""))
-    assert not journal.finished_ids and not journal.idempotency_keys and journal.live_bytes < 2000
+    assert not journal.completed_ids and not journal.idempotency_keys and journal.live_bytes < 2000
     journal.close()
 
 
--- a/tests/test_stored_journal.py
+++ b/tests/test_stored_journal.py
@@ -109,7 +109,7 @@
         "key-known": 14,
     }
     assert list(journal.cordoned) == ["host-b", "host-c"]
-    assert {x: journal.finished_ids.entries[x][2] for x in journal.finished_ids.entries} == {
+    assert {x: journal.completed_ids.entries[x][2] for x in journal.completed_ids.entries} == {
         "done-early": START_S + 7.0,
         "zone-unknown": START_S + 62.0,
         "told-a": START_S + 32.0,
@@ -156,7 +156,7 @@
         "key-plain": (START_S - 1.0, -1, START_S + 10.0),
         "key-old": (START_S + 0.5, -1, START_S + 11.5),
     }
-    assert "old-id" in journal.finished_ids
+    assert "old-id" in journal.completed_ids
     journal.close()
 
 
