--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -83,7 +83,7 @@
     assert not first_endpoint.circuit.open and first_endpoint.circuit.slow_start_since_us >= 0
 
 
-def test_slow_start_is_shared_by_the_endpoints_in_use():
+def test_slow_start_is_shared_by_ready_endpoints_with_a_closed_circuit():
     sent = []
     for one_circuit_open in (False, True):
         driver = mid_size_fleet(endpoints=2, call_slots=8)
