--- a/message_relay/policy/attempts.py
+++ b/message_relay/policy/attempts.py
@@ -67,10 +67,11 @@
 
 
 def _take_idle_connection(state: PolicyState, call: Call) -> None:
-    """Assign to the call the endpoint's connection that became idle last, which is the one the server uses.
+    """Record how long the connection that the call reuses has been idle, and count it as idle no more.
 
-    If even that one was idle for longer than the reuse limit, all idle connections are closed first, unless
-    their idle timeout has passed. The call then uses a new connection.
+    It is the endpoint's connection that became idle last, as in the pool of the server. If even that one was
+    idle for longer than the reuse limit, the call uses a new connection, and all idle ones are closed before,
+    unless the endpoint has closed them at the idle timeout.
     """
     endpoint, now = call.endpoint, state.now_us
     oldest_reusable_us = now - state.statistics.idle_reuse_limit_us
--- a/message_relay/policy/rate_limiter.py
+++ b/message_relay/policy/rate_limiter.py
@@ -96,6 +96,10 @@
 
 
 def _decrease_rate(state: PolicyState, group: EndpointGroup) -> None:
+    """Cut the rate limit by a factor, or begin to enforce one if the group has none.
+
+    The first limit is the advertised rate in a large fleet, otherwise a share of the success rate.
+    """
     rate, success_rate = group.rate_limit_per_s, group.success_rate_per_s
     group.last_rejected_rate_per_s = rate or success_rate * ASSUMED_HEADROOM_FACTOR
     if rate:
--- a/message_relay/policy_snapshot/snapshots.py
+++ b/message_relay/policy_snapshot/snapshots.py
@@ -19,7 +19,7 @@
     statistics: CallStatistics
 
     def instance_values(self) -> Values:
-        """Return the counters and quotas, in the order in which they are sent."""
+        """Return all values but the start time and the statistics, in the order in which they are sent."""
         quotas = [
             [quota.rate_per_s, quota.bucket.tokens, quota.bucket.updated_at_us] for quota in self.quotas
         ]
@@ -126,9 +126,8 @@
 class PolicySnapshot(NamedTuple):
     """State of a policy, from which the policy of another process continues.
 
-    Order pauses, idle connections and the state of the random numbers are not included.
-
-    Endpoint numbers are those of the process that captured the snapshot.
+    Order pauses, idle connections and the state of the random number generator are not included. Endpoint
+    numbers are those of the process that captured the snapshot.
     """
 
     attempts: dict[int, int]  # number of attempts started, by message
--- a/message_relay/policy_snapshot/transfer.py
+++ b/message_relay/policy_snapshot/transfer.py
@@ -135,12 +135,17 @@
 def _restore_destination(
     state: PolicyState, captured: DestinationSnapshot, endpoints: dict[int, int], type_index: int
 ) -> None:
+    """Restore a destination, and the groups of which an endpoint is present.
+
+    A group of all endpoints of a destination is restored without any endpoint too: its Retry-After applies to
+    endpoints that are listed later.
+    """
     destination = state.destination(captured.id)
     destination.type_index, destination.submitted_messages = type_index, captured.submitted_messages
     for group in captured.groups:
         numbers = [endpoints.get(number, 0) for number in group.endpoints]
         present = [state.endpoints[number] for number in numbers if number in state.endpoints]
-        if not destination.groups:  # the Retry-After of the group applies to endpoints listed later, too
+        if not destination.groups:
             state.add_group(destination)
         if present or not state.settings.destination_types[type_index].independent_endpoints:
             set_group_values(present[0].group if present else destination.groups[0], group.values)
--- a/message_relay/simulator_adapter/frames.py
+++ b/message_relay/simulator_adapter/frames.py
@@ -250,11 +250,11 @@
 
 
 def _read_attempt_ended(view: memoryview, offset: int, tail: memoryview, lists: EndpointLists) -> WireEvent:
-    number, attempt, address, port, code, latency_us, ended, wait_ms, *_ = _ATTEMPT_ENDED.unpack_from(
+    number, attempt, address, port, code, latency_us, ended, retry_after_ms, *_ = _ATTEMPT_ENDED.unpack_from(
         view, offset
     )
     result = _lookup_code(RESULTS, code, "result")
-    retry_after_us = wait_ms * 1000 if result is AttemptResult.REJECTED else 0
+    retry_after_us = retry_after_ms * 1000 if result is AttemptResult.REJECTED else 0
     endpoint = endpoint_id(address, port)
     return model.AttemptEnded(number, attempt, endpoint, result, latency_us, bool(ended), retry_after_us)
 
