--- a/message_relay/server/discovery/endpoint_watch.py
+++ b/message_relay/server/discovery/endpoint_watch.py
@@ -118,7 +118,7 @@
         self.connection.send_request("GET", target, [], b"", self)
 
     def headers_received(self, status: int, headers: dict[str, str]) -> None:
-        """Retry after a wait if the watch was rejected; the body of such a response is ignored."""
+        """Wait for the first line, or reopen the watch after a wait if the service rejected it."""
         self._status = status
         if status == STATUS_OK:
             self.set_timer(SILENCE_TIMEOUT_S, self.reconnect)
@@ -153,7 +153,7 @@
         self.revision = change.revision
         self._on_change(change)
 
-    def response_complete(self, trailing_bytes: bool) -> None:
+    def response_complete(self, trailing_garbage: bool) -> None:
         """Reopen the watch after a wait, since the service ended it."""
         self.retry()
 
--- a/message_relay/server/endpoint_calls/client.py
+++ b/message_relay/server/endpoint_calls/client.py
@@ -163,9 +163,10 @@
             self._end_after_connect_error(call, error)
 
     def _connect_timed_out(self, call: EndpointCall, connection: HttpConnection) -> None:
-        """Time out the call if its request was not sent: it has no handler and no status then.
+        """Time out the call if the connection has not been established.
 
-        Without the status, a call whose response is being aborted would look like one that is connecting.
+        In that state the connection has no handler and the call no status. A connection whose response is
+        being aborted has no handler either, but its call has a status.
         """
         if connection.handler is None and not call.status:
             call.time_out()
--- a/message_relay/server/http/response_handler.py
+++ b/message_relay/server/http/response_handler.py
@@ -30,10 +30,10 @@
     def body_received(self, data: bytes) -> None:
         """Handle a part of the body."""
 
-    def response_complete(self, trailing_bytes: bool) -> None:
+    def response_complete(self, trailing_garbage: bool) -> None:
         """Handle the end of the complete response.
 
-        trailing_bytes: whether bytes other than a second response directly followed it.
+        trailing_garbage: whether bytes directly followed it that do not begin another response.
         """
 
     def connection_lost(self, request_written: bool) -> None:
--- a/message_relay/server/http/response_parser.py
+++ b/message_relay/server/http/response_parser.py
@@ -68,6 +68,7 @@
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
+            # After the end of the response, the error is in bytes that follow it: the response is valid.
             self.trailing_bytes = self.trailing_bytes or self.complete
             return self.complete
         if not self.headers_complete:
@@ -100,7 +101,7 @@
         self.handler.status_received(status)
 
     def on_message_begin(self) -> None:
-        """Start an informational response, the final response, or another response that follows it."""
+        """Discard the headers of a previous response, unless this one follows the final response."""
         self.trailing_bytes = self.complete
         if not self.trailing_bytes:
             self.headers = {}
--- a/tests/test_malformed_responses.py
+++ b/tests/test_malformed_responses.py
@@ -118,9 +118,9 @@
         observer = RecordingObserver()
         body_sizes = []
         original = EndpointCall.response_complete
-        EndpointCall.response_complete = lambda call, trailing_bytes: (
+        EndpointCall.response_complete = lambda call, trailing_garbage: (
             body_sizes.append(len(call.body)),
-            original(call, trailing_bytes),
+            original(call, trailing_garbage),
         )
         try:
             assert await observer.send(endpoint.port, "a") == [("a", OK)]
