--- a/message_relay/server/event_queue.py
+++ b/message_relay/server/event_queue.py
@@ -48,8 +48,8 @@
         else:
             self._loop.call_later(wait_us / 1e6, self.on_tick)
 
-    def tick_due(self) -> None:
-        """Mark the scheduled tick as due, so that another one can be scheduled."""
+    def clear_scheduled_tick(self) -> None:
+        """Record that the scheduled tick has begun, so that another one can be scheduled."""
         self._tick_scheduled = False
 
     def begin_tick(self) -> tuple[int, list[Event]]:
--- a/message_relay/server/policy_runner.py
+++ b/message_relay/server/policy_runner.py
@@ -68,7 +68,7 @@
 
     def run(self) -> None:
         """Run one tick, unless the event queue is paused."""
-        self._events.tick_due()
+        self._events.clear_scheduled_tick()
         if self._events.paused:
             return
         now_us, events = self._events.begin_tick()
