--- a/message_relay/server/attempt_runner.py
+++ b/message_relay/server/attempt_runner.py
@@ -230,7 +230,7 @@
             self._retry_after.record(entry, retry_after_us)
 
     def load_report_received(self, endpoint: int, values: dict[str, float]) -> None:
-        """Report a load report to the policy if it has every configured field."""
+        """Pass a load report on to the policy if it has every configured field."""
         fields = self._settings.load_report_fields
         if all(field in values for field in fields):
             self._events.add(LoadReportReceived(endpoint, tuple(values[field] for field in fields)))
--- a/message_relay/server/hot_restart/new_process.py
+++ b/message_relay/server/hot_restart/new_process.py
@@ -113,6 +113,7 @@
             self._disconnected()
 
     def _handover_is_complete(self) -> bool:
+        """Return whether the state, the listening socket and the descriptor of each client were received."""
         assert self.channel is not None
         descriptors = len(self.channel.received_descriptors)
         return (
--- a/message_relay/server/hot_restart/old_process.py
+++ b/message_relay/server/hot_restart/old_process.py
@@ -143,9 +143,9 @@
         self.state_exported = True
         self._start_timer(OWNERSHIP_TIMEOUT_S)
         handover = self._source.export_state(self.report)
-        listener = [] if handover.listener_fd is None else [handover.listener_fd]
+        listener_fds = [] if handover.listener_fd is None else [handover.listener_fd]
         clients = handover.clients
-        channel.send(StateHandedOver(handover.state, len(listener) + len(clients)), listener)
+        channel.send(StateHandedOver(handover.state, len(listener_fds) + len(clients)), listener_fds)
         for start in range(0, len(clients), CLIENTS_PER_FRAME):
             group = clients[start : start + CLIENTS_PER_FRAME]
             descriptors = [client.descriptor for client in group]
--- a/message_relay/server/journal/index.py
+++ b/message_relay/server/journal/index.py
@@ -158,7 +158,10 @@
             self.completed_ids.add(message.id, record.at_s, message.deadline_s + COMPLETED_ID_GRACE_S)
 
     def _remove_from_open(self, message: AcceptedMessage) -> None:
-        """Remove the message from the open messages; must be called before its final status is set."""
+        """Remove the message from the open messages, unless its final answer has done that already.
+
+        Must be called before the final status is set.
+        """
         if message.final_status is not None:
             return
         self.open_count -= 1
--- a/message_relay/server/journal/journal.py
+++ b/message_relay/server/journal/journal.py
@@ -217,9 +217,9 @@
             self._index.expire(now_s)
 
     def _fits_limit(self, additional_bytes: int) -> bool:
-        """Return whether two copies of the live data, with the additional bytes, stay within the limit.
+        """Return whether two copies of the live data, with the additional bytes, leave the headroom free.
 
-        A compaction needs both copies at once.
+        A compaction needs both copies at once, within the disk limit.
         """
         needed_bytes = 2 * (self.live_bytes + additional_bytes)
         return round_up_to_blocks(int(needed_bytes + HEADROOM_SHARE * self.limit_bytes)) <= self.limit_bytes
--- a/message_relay/server/resp/server.py
+++ b/message_relay/server/resp/server.py
@@ -101,7 +101,10 @@
         connection.import_state(state)
 
     def accept_pending(self) -> None:
-        """Accept the connections in the backlog, since closing the listening socket would reset them."""
+        """Accept the connections in the backlog, since closing the listening socket would reset them.
+
+        Stops after a pass that does not raise the number of open connections.
+        """
         while self.listening_socket is not None and not self.paused:
             count_before = len(self.connections)
             self._on_acceptable()
--- a/message_relay/server/submission.py
+++ b/message_relay/server/submission.py
@@ -35,7 +35,7 @@
 class PendingSubmission:
     """A message that was submitted since the last tick and waits for the policy's decision.
 
-    A client may submit it again on another connection in that time: each submission gets the same reply.
+    Clients may submit it again in that time: each submission gets the same reply.
     """
 
     message: AcceptedMessage
@@ -99,8 +99,9 @@
     def submit(self, request: SubmitRequest, reply: ReplyHandle) -> None:
         """Submit a client's message to the policy; the reply is sent in the next tick.
 
-        Replies at once if the message is a duplicate or cannot be accepted now. Raises InvalidRequestError if
-        its class, tenant, key, lifetime or destination is not valid.
+        Replies at once if the message was accepted before or cannot be accepted now; if it is pending, this
+        submission gets the same reply. Raises InvalidRequestError if its class, tenant, key, lifetime or
+        destination is not valid.
         """
         message_class, tenant = self._validate(request)
         if self._events.paused:
@@ -110,7 +111,7 @@
             self.pending[self.pending_ids[request.message_id]].replies.append(reply)
             return
         if self._is_duplicate(request.message_id):
-            # Resubmitted on a new connection: accepted before, so it is acknowledged but not added again.
+            # Accepted before, so it is acknowledged but not added again.
             reply.send(replies.OK)
             return
         open_messages = self._journal.open_count + len(self.pending)
