--- a/message_relay/model/settings.py
+++ b/message_relay/model/settings.py
@@ -21,12 +21,8 @@
 def _require_non_negative_times(settings: MessageClass | Settings, prefix: str) -> None:
     for field in fields(settings):
         if field.name.endswith("_us"):
-            _require(
-                getattr(settings, field.name) >= 0,
-                f"{prefix}{field.name}",
-                "0 or more microseconds",
-                getattr(settings, field.name),
-            )
+            value = getattr(settings, field.name)
+            _require(value >= 0, f"{prefix}{field.name}", "0 or more microseconds", value)
 
 
 @dataclass(frozen=True, slots=True)
@@ -177,7 +173,8 @@
             "tick_interval_us",
         )
         for name in at_least_one:
-            _require(getattr(self, name) >= 1, name, "1 or more", getattr(self, name))
+            value = getattr(self, name)
+            _require(value >= 1, name, "1 or more", value)
         index_valid = 0 <= self.instance_index < self.instance_count
         _require(
             index_valid, "instance_index", "at least 0 and less than instance_count", self.instance_index
