--- a/message_relay/server/endpoint_directory.py
+++ b/message_relay/server/endpoint_directory.py
@@ -99,7 +99,7 @@
         self.targets.pop(number, None)
         if entry := self.entries.pop(number, None):
             self._retry_after.remove_wait(entry)
-        self.numbers.pop(self.uids.pop(number, ""), None)  # a removed uid is not listed again
+        self.numbers.pop(self.uids.pop(number, ""), None)  # listed again, it gets a new number
         self._calls.remove_endpoint(number)
 
     def batch_size(self, number: int) -> int:
